--- a/examples/one_node.rs
+++ b/examples/one_node.rs
@@ -1,22 +1,22 @@
 //! One node that places a few connections of two groups and sees one server fail.
 
-use oakdeal::{Action, Brain, Demand, Entry, Event, ListKind, Outcome, Settings, SettingsError};
+use oakdeal::{Action, Demand, Entry, Event, ListKind, Outcome, PlacementPolicy, Settings, SettingsError};
 
 fn main() -> Result<(), SettingsError> {
-    let mut brain = Brain::new(Settings::default(), 42)?;
+    let mut policy = PlacementPolicy::new(Settings::default(), 42)?;
     let mut out: Vec<Action> = Vec::new();
     let hosts = (1..=5).map(Entry::ready).collect();
-    brain.handle(0, Event::Members { kind: ListKind::Full, hosts }, &mut out);
+    policy.handle(0, Event::Members { kind: ListKind::Full, hosts }, &mut out);
     for (i, group) in ["red", "blue", "red", "blue"].into_iter().enumerate() {
         let demand = Demand { group: Some(group.into()), ..Demand::new(&format!("call-{i}"), 0, 500_000) };
-        brain.handle(1_000 * i as u64, Event::Demand(demand), &mut out);
+        policy.handle(1_000 * i as u64, Event::Demand(demand), &mut out);
     }
     println!("placed: {out:#?}");
     if let Some(Action::Send { call, host, .. }) = out.first().cloned() {
         out.clear();
         let outcome = Outcome::ConnectFailed;
         let failed = Event::Finished { call, attempt: 0, host, outcome, elapsed: 250_000, ended: false };
-        brain.handle(260_000, failed, &mut out);
+        policy.handle(260_000, failed, &mut out);
         println!("host {host} did not answer, so: {out:?}");
     }
     Ok(())
--- a/src/bin/oakdeal-drill.rs
+++ b/src/bin/oakdeal-drill.rs
@@ -1,15 +1,15 @@
-//! The adapter: hosts one [`Brain`] for each node and speaks the bench's wire on standard input and
+//! The adapter: hosts one [`PlacementPolicy`] for each node and speaks the bench's wire on standard input and
 //! output. It decides nothing.
 
 use oakdeal::wire::{clock, reply, Line, Names, Reply};
-use oakdeal::{Action, Brain};
+use oakdeal::{Action, PlacementPolicy};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
 /// Reads batches until the input ends.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut nodes: BTreeMap<u32, (Brain, Names)> = BTreeMap::new();
+    let mut nodes: BTreeMap<u32, (PlacementPolicy, Names)> = BTreeMap::new();
     let mut batch: Option<(u64, u64)> = None;
     let mut actions: Vec<Action> = Vec::new();
     let mut text: Vec<u8> = Vec::new();
@@ -42,20 +42,20 @@
             }
             (Line::Init { node, rng_seed, env }, Some(_)) => {
                 let (settings, names) = env.translate().map_err(|e| fault(e.to_string()))?;
-                let brain = Brain::new(settings, rng_seed).map_err(|e| fault(e.to_string()))?;
-                nodes.insert(node, (brain, names));
+                let policy = PlacementPolicy::new(settings, rng_seed).map_err(|e| fault(e.to_string()))?;
+                nodes.insert(node, (policy, names));
             }
             (Line::Retire { node }, Some(_)) => {
                 nodes.remove(&node);
             }
             (line, Some((now, _))) => {
                 let node = line.node().unwrap_or_default();
-                let Some((brain, names)) = nodes.get_mut(&node) else {
+                let Some((policy, names)) = nodes.get_mut(&node) else {
                     return Err(fault(format!("expected Init for node {node} before its first event")));
                 };
                 if let Some(event) = line.event(names).map_err(fault)? {
                     actions.clear();
-                    brain.handle(now, event, &mut actions);
+                    policy.handle(now, event, &mut actions);
                     for action in &actions {
                         json(&mut text, &reply(node, action))?;
                     }
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -16,7 +16,7 @@
 use crate::failover::plan::Plan;
 use crate::rebalance::{self, Note, Rebalance, View};
 use crate::wire::Names;
-use crate::Brain;
+use crate::PlacementPolicy;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -85,7 +85,7 @@
 /// The decisions of one balancer.
 #[derive(Default)]
 pub struct Core {
-    brain: Brain,
+    policy: PlacementPolicy,
     /// Contracts between teams; none where the operator wrote none.
     contracts: Option<Contracts>,
     /// Slow rebalancing; none where the operator wants none.
@@ -118,7 +118,7 @@
             },
             projects: names.tenants().to_vec(),
             tenants: settings.tenants.clone(),
-            brain: Brain::new(settings, seed)?,
+            policy: PlacementPolicy::new(settings, seed)?,
             ..Core::default()
         })
     }
@@ -286,7 +286,7 @@
             _ => {}
         }
         let first = actions.len();
-        self.brain.handle(now, event, actions);
+        self.policy.handle(now, event, actions);
         let mut n = first;
         while n < actions.len() {
             if self.beyond_lease(now, &actions[n]) {
@@ -312,7 +312,7 @@
         let Action::Send { call, host, .. } = unsent else { return };
         let (outcome, elapsed) = (Outcome::Moot, 0);
         let event = Event::Finished { call, attempt: 0, host, outcome, elapsed, ended: false };
-        self.brain.handle(now, event, actions);
+        self.policy.handle(now, event, actions);
     }
 
     fn book_action(&mut self, now: Micros, action: &Action) {
@@ -388,8 +388,8 @@
             if !actions.is_empty() {
                 rebalance.trouble(now, "contracts move connections");
             }
-            let brain = &self.brain;
-            let moves = rebalance.turn(now, || View { hosts: brain.hosts(now), strays: brain.strays() });
+            let policy = &self.policy;
+            let moves = rebalance.turn(now, || View { hosts: policy.hosts(now), strays: policy.strays() });
             actions.extend(moves.into_iter().map(|call| Action::Move { call }));
         }
     }
@@ -478,7 +478,7 @@
         let teams = self.contracts.iter().flat_map(Contracts::teams);
         self.tenants.extend(teams.map(|c| tenant(c, self.frame.balancers)));
         let mut actions = Vec::new();
-        self.brain.handle(now, Event::Tenants(self.tenants.clone()), &mut actions);
+        self.policy.handle(now, Event::Tenants(self.tenants.clone()), &mut actions);
         debug_assert!(actions.is_empty(), "other tenants decide nothing");
         changes
     }
@@ -490,12 +490,12 @@
 
     /// Whether an attempt that was decided on may still be sent, as the module sees it.
     pub fn may_still(&self, now: Micros, call: &CallId, host: HostId) -> bool {
-        self.brain.may_still(now, call, host)
+        self.policy.may_still(now, call, host)
     }
 
     /// How many instances may be sent something new, as the module sees them.
     pub fn takes(&self, now: Micros) -> usize {
-        self.brain.hosts(now).iter().filter(|host| host.takes).count()
+        self.policy.hosts(now).iter().filter(|host| host.takes).count()
     }
 
     /// Whether this id is in hand already.
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -127,7 +127,7 @@
         let broker = Broker {
             delays_told: settings.delays_told,
             pushed: settings.discovery == Discovery::Pushed,
-            many: settings.peers_total > crate::brain::SPREAD.1,
+            many: settings.peers_total > crate::placement::SPREAD.1,
             longest: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
             turn_at: Cell::new(Micros::MAX),
             sooner: Notify::new(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,20 +1,19 @@
 //! oakdeal decides for a balancer of long-lived connections.
 //!
-//! Each balancing node owns one [`Brain`]. It is told what happens as [`Event`]s and answers with
+//! Each balancing node owns one [`PlacementPolicy`]. It is told what happens as [`Event`]s and answers with
 //! [`Action`]s; it does no I/O, reads no clock and shares nothing. Placement is consistent hashing
 //! on a circle that all nodes build alike (see `docs/DESIGN.md`).
 //!
 //! ```
-//! use oakdeal::{Action, Brain, Demand, Entry, Event, ListKind, Settings};
-//! let mut brain = Brain::new(Settings::default(), 7).unwrap();
+//! use oakdeal::{Action, Demand, Entry, Event, ListKind, PlacementPolicy, Settings};
+//! let mut policy = PlacementPolicy::new(Settings::default(), 7).unwrap();
 //! let mut out = Vec::new();
 //! let hosts = vec![Entry::ready(11), Entry::ready(12)];
-//! brain.handle(0, Event::Members { kind: ListKind::Full, hosts }, &mut out);
-//! brain.handle(1_000, Event::Demand(Demand::new("call-1", 0, 500_000)), &mut out);
+//! policy.handle(0, Event::Members { kind: ListKind::Full, hosts }, &mut out);
+//! policy.handle(1_000, Event::Demand(Demand::new("call-1", 0, 500_000)), &mut out);
 //! assert!(matches!(out.last(), Some(Action::Send { host: 11 | 12, .. })));
 //! ```
 pub mod api;
-pub mod brain;
 pub mod broker;
 pub mod cli;
 pub mod config;
@@ -26,12 +25,13 @@
 pub mod net;
 pub mod operator;
 pub mod peers;
+pub mod placement;
 pub mod rebalance;
 pub mod serve;
 pub mod wire;
 
 pub use api::*;
-pub use brain::Brain;
+pub use placement::PlacementPolicy;
 
 /// The README's example, compiled and run with the tests.
 #[cfg(doctest)]
--- a/src/brain.rs
+++ b/src/placement.rs
@@ -254,7 +254,7 @@
 
 /// The decisions of one node.
 #[derive(Default)]
-pub struct Brain {
+pub struct PlacementPolicy {
     settings: Settings,
     rng: u64,
     hosts: BTreeMap<HostId, Host>,
@@ -288,19 +288,19 @@
     rations: Vec<Ration>,
 }
 
-impl Brain {
+impl PlacementPolicy {
     /// A node that knows no server yet. Refuses settings that no deployment can mean.
-    pub fn new(settings: Settings, seed: u64) -> Result<Brain, SettingsError> {
+    pub fn new(settings: Settings, seed: u64) -> Result<PlacementPolicy, SettingsError> {
         settings.validate()?;
         let budgets = settings.tenants.iter().map(|t| t.budget).chain([settings.rules.budget]);
-        Ok(Brain {
+        Ok(PlacementPolicy {
             told: vec![(0.0, 0.0); settings.classes.len() + 1],
             held: vec![0; settings.tenants.len() + 1],
             rations: budgets.map(|budget| Ration { budget, ..Ration::default() }).collect(),
             ring: vec![Vec::new(); SEGMENTS],
             settings,
             rng: seed,
-            ..Brain::default()
+            ..PlacementPolicy::default()
         })
     }
 
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -98,7 +98,7 @@
     let accounted = operator.terms.is_some();
     let (mut plans, started) = (None, unix_ms());
     if let Some(terms) = operator.failover {
-        if zoned.peers_total > crate::brain::SPREAD.1 {
+        if zoned.peers_total > crate::placement::SPREAD.1 {
             // Measured in simulated time: docs/failover.md.
             tracing::warn!("[failover] is not for so many balancers yet: groups are cut by zone, and cold servers may be filled too fast");
         }
--- a/tests/circle.rs
+++ b/tests/circle.rs
@@ -42,7 +42,7 @@
     let (mut a, mut b) = (Node::new(settings(), 1..=8), Node::new(settings(), [8, 3, 5]));
     b.list(5, ListKind::Changes, [7, 1, 2, 4, 6].map(Entry::ready).to_vec());
     b.0 = {
-        let mut other = Brain::new(settings(), 99).expect("settings");
+        let mut other = PlacementPolicy::new(settings(), 99).expect("settings");
         let hosts = [8, 7, 6, 5, 4, 3, 2, 1].map(Entry::ready).to_vec();
         other.handle(0, Event::Members { kind: ListKind::Full, hosts }, &mut Vec::new());
         other
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -33,11 +33,11 @@
 }
 
 /// A node under test.
-pub struct Node(pub Brain);
+pub struct Node(pub PlacementPolicy);
 
 impl Node {
     pub fn new(settings: Settings, hosts: impl IntoIterator<Item = HostId>) -> Node {
-        let mut node = Node(Brain::new(settings, 1).expect("settings"));
+        let mut node = Node(PlacementPolicy::new(settings, 1).expect("settings"));
         node.list(0, ListKind::Cached, hosts.into_iter().map(Entry::ready).collect());
         node
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -146,7 +146,7 @@
     odd.limits.sends = 0;
     assert!(refused(&Node::new(odd.clone(), 1..=3).demand(0, "a", 0, None)));
     odd.rules.cold_share = f64::NAN;
-    let error = Brain::new(odd, 1).err().expect("refused");
+    let error = PlacementPolicy::new(odd, 1).err().expect("refused");
     assert!(error.to_string().contains("cold_share"), "{error}");
 }
 
@@ -154,7 +154,7 @@
 fn the_list_is_asked_for_again_after_a_failed_call_with_a_growing_jittered_wait() {
     let mut asked = settings();
     (asked.discovery, asked.peers_total) = (Discovery::Asked, 1);
-    let mut node = Node(Brain::new(asked, 3).expect("settings"));
+    let mut node = Node(PlacementPolicy::new(asked, 3).expect("settings"));
     assert!(node.list(0, ListKind::Cached, vec![Entry::ready(1)]).contains(&Action::Watch));
     let mut waits = Vec::new();
     for _ in 0..6 {
@@ -211,7 +211,8 @@
             _ => panic!("{out:?}"),
         };
         for n in 0..asking {
-            let mut node = Node(Brain::new(settings.clone(), u64::from(n) * 7919).expect("settings"));
+            let mut node =
+                Node(PlacementPolicy::new(settings.clone(), u64::from(n) * 7919).expect("settings"));
             let (list, start) = (vec![Entry::ready(1)], lost_at.unwrap_or(0));
             let mut out = node.list(0, ListKind::Cached, list);
             if lost_at.is_some() {
@@ -314,10 +315,10 @@
     let (hosts, per_node) = (60, 20);
     let mut s = settings();
     s.peers_total = nodes;
-    let mut fleet: Vec<Brain> = Vec::new();
-    let tell = |brain: &mut Brain, now, event| {
+    let mut fleet: Vec<PlacementPolicy> = Vec::new();
+    let tell = |policy: &mut PlacementPolicy, now, event| {
         let mut out = Vec::new();
-        brain.handle(now, event, &mut out);
+        policy.handle(now, event, &mut out);
         sent(&out)
     };
     let (start, span) = (40 * S, s.rules.fall_time);
@@ -327,31 +328,31 @@
     };
     let born = if nodes_restart { start - S } else { 0 };
     for n in 0..nodes {
-        let mut brain = Brain::new(s.clone(), u64::from(n) * 7919).expect("settings");
-        tell(&mut brain, born, Event::Members { kind: ListKind::Cached, hosts: entries(false) });
+        let mut policy = PlacementPolicy::new(s.clone(), u64::from(n) * 7919).expect("settings");
+        tell(&mut policy, born, Event::Members { kind: ListKind::Cached, hosts: entries(false) });
         for i in 0..per_node {
             let call = format!("old{n}-{i}");
             let group = Some(format!("g{}", (n + i) % 40).into());
             if !nodes_restart {
                 let host = 1 + (n * per_node + i) % hosts;
                 let at = start - u64::from(per_node - i) * S;
-                tell(&mut brain, at, Event::Adopted(Demand { group, ..Demand::new(&call, 0, 0) }, host));
+                tell(&mut policy, at, Event::Adopted(Demand { group, ..Demand::new(&call, 0, 0) }, host));
             }
         }
-        tell(&mut brain, start, Event::Members { kind: ListKind::Full, hosts: entries(true) });
-        fleet.push(brain);
+        tell(&mut policy, start, Event::Members { kind: ListKind::Full, hosts: entries(true) });
+        fleet.push(policy);
     }
     // Every node is asked every second, and each time for a group of the struck hosts' arcs or another.
     let mut at_cold = 0;
     for tick in 0..span / (100 * MS) {
         let now = start + tick * 100 * MS;
-        for (n, brain) in fleet.iter_mut().enumerate().filter(|(n, _)| n % 10 == tick as usize % 10) {
+        for (n, policy) in fleet.iter_mut().enumerate().filter(|(n, _)| n % 10 == tick as usize % 10) {
             let (call, group) = (format!("new{n}-{tick}"), Some(format!("n{n}-{tick}").into()));
             let mut demand = Demand { group, ..Demand::new(&call, 0, 2 * S) };
             demand.key = Some(call.as_str().into());
-            if let Some(host) = tell(brain, now, Event::Demand(demand)) {
+            if let Some(host) = tell(policy, now, Event::Demand(demand)) {
                 at_cold += usize::from(cold.contains(&host));
-                brain.handle(
+                policy.handle(
                     now,
                     Event::Opened { call: call.as_str().into(), host, elapsed: MS },
                     &mut vec![],
@@ -395,7 +396,7 @@
     };
     let mut at_cold: Vec<(HostId, Micros)> = Vec::new();
     for n in 0..nodes {
-        let mut node = Node(Brain::new(s.clone(), seed * 1_000 + u64::from(n)).expect("settings"));
+        let mut node = Node(PlacementPolicy::new(s.clone(), seed * 1_000 + u64::from(n)).expect("settings"));
         node.list(0, ListKind::Cached, entries(false));
         let own = format!("own{n}");
         node.tell(0, Event::Adopted(Demand::new(&own, 0, 0), 9 + n % 12));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -75,7 +75,7 @@
     let list: Vec<Entry> = small.clone().chain(large).map(sized).collect();
     let mut at_small = 0;
     for n in 0..400 {
-        let mut node = Node(Brain::new(s.clone(), n).expect("settings"));
+        let mut node = Node(PlacementPolicy::new(s.clone(), n).expect("settings"));
         node.list(0, ListKind::Cached, list.clone());
         let host = visit(&mut node, 0, &format!("k{n}"), &format!("g{n}"), false);
         at_small += usize::from(small.contains(&host));
@@ -98,7 +98,7 @@
         // Each client comes through another node, as the front deals them out.
         let mut count: BTreeMap<HostId, usize> = BTreeMap::new();
         for n in 0..40 {
-            let mut node = Node(Brain::new(s.clone(), n).expect("settings"));
+            let mut node = Node(PlacementPolicy::new(s.clone(), n).expect("settings"));
             node.list(0, ListKind::Cached, list());
             let host = visit(&mut node, 0, &format!("k{n}"), &format!("g{group}"), false);
             *count.entry(host).or_default() += 1;
@@ -122,7 +122,7 @@
         (s.rules.cold_share, s.rules.cold_time) = (0.1, 20 * S);
         let mut waits = Vec::new();
         for n in 0..300 {
-            let mut node = Node(Brain::new(s.clone(), n).expect("settings"));
+            let mut node = Node(PlacementPolicy::new(s.clone(), n).expect("settings"));
             let at = |h: HostId| if h <= cold { 60 * S } else { 0 };
             let list = (1..=10).map(|h| Entry { ready_at: at(h), weight: 2.0, ..Entry::ready(h) }).collect();
             node.list(60 * S, ListKind::Cached, list);
@@ -234,7 +234,7 @@
     let left = |delays_told: bool| {
         let mut s = settings();
         (s.weighted, s.delays_told, s.peers_total) = (true, delays_told, 1);
-        let mut node = Node(Brain::new(s, 1).expect("settings"));
+        let mut node = Node(PlacementPolicy::new(s, 1).expect("settings"));
         let sized = |host, weight| Entry { weight, ..Entry::ready(host) };
         node.list(0, ListKind::Cached, vec![sized(1, 1.0), sized(2, 8.0), sized(3, 8.0)]);
         for i in 0..20 {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -134,6 +134,6 @@
     assert_eq!(told.nines, Some(oakdeal::Nines { part: 0.2, wanted: 2.0 }));
     for bad in [r#"{"NinesPart":0.2,"NinesWanted":0}"#, r#"{"NinesPart":-1,"NinesWanted":2}"#] {
         let (settings, _) = read(&format!(r#"{{"Goal":{bad}}}"#)).expect("read");
-        assert!(oakdeal::Brain::new(settings, 1).is_err(), "{bad}");
+        assert!(oakdeal::PlacementPolicy::new(settings, 1).is_err(), "{bad}");
     }
 }
