--- a/lab/src/virt/decider.rs
+++ b/lab/src/virt/decider.rs
@@ -102,9 +102,9 @@
                 zone: scenario.zone[zone].name.clone(),
                 zones: names.zones().to_vec(),
                 classes: names.classes().to_vec(),
-                cold: (settings.rules.cold_share, settings.rules.cold_time),
+                cold: (settings.rules.cold_share, settings.rules.warmup_time),
                 balancers: settings.peers_total,
-                longest: settings.limits.retry_after,
+                longest: settings.limits.max_retry_after,
             };
             let mut core = Core::new(settings, &names, seed).map_err(|e| e.to_string())?;
             if let Some(text) = &scenario.operator {
--- a/src/api.rs
+++ b/src/api.rs
@@ -29,18 +29,18 @@
 
 /// What a repeat of a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum RepeatSafety {
     /// May be repeated and refused freely.
-    Free,
+    Idempotent,
     /// May be repeated only at hosts that discard duplicates, and only for a while.
-    Guarded,
+    Deduplicated,
     /// May be repeated or refused only when no earlier attempt can have run.
-    SingleShot,
+    AtMostOnce,
 }
 
 /// Which hosts discard the duplicates of a guarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GuardGroup {
+pub enum DedupScope {
     /// Every host.
     All,
     /// The hosts of one zone.
@@ -53,15 +53,15 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer (or a standing connection) inside this time earns the full worth.
-    pub aim: Micros,
+    pub setup_target: Micros,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub repeat_safety: RepeatSafety,
     /// For guarded classes: who discards duplicates.
-    pub guard: GuardGroup,
+    pub dedup_scope: DedupScope,
     /// For guarded classes: for how long, from the first attempt that may have run.
-    pub window: Micros,
+    pub dedup_window: Micros,
     /// How long a message on an open connection may take; 0 where this is not known.
-    pub message_aim: Micros,
+    pub message_delay_target: Micros,
     /// How long a client waits in all; 0 where this is not known.
     pub deadline: Micros,
     /// What a request is worth beside those of other classes; 0 where this is not known.
@@ -96,13 +96,13 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Most attempts for one request.
-    pub sends: u32,
+    pub max_attempts: u32,
     /// Whether hosts may be probed.
     pub probes: bool,
     /// The longest time that a client may be asked to stay away; none where no advice reaches clients.
-    pub retry_after: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
     /// Whether probes tell a host's load over what it can do.
-    pub load_told: bool,
+    pub probes_report_load: bool,
 }
 
 /// The figures behind the rules.
@@ -111,18 +111,18 @@
     /// A host starts at this share of its capacity or more.
     pub cold_share: f64,
     /// A host is warm after this time at most.
-    pub cold_time: Micros,
+    pub warmup_time: Micros,
     /// A cold host falls when sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long.
-    pub fall_time: Micros,
+    pub overload_failure_time: Micros,
     /// Sends to a draining or gone host must end within this.
     pub drain_grace: Micros,
     /// Limit on attempts beyond a request's first; none where the deployment states none.
     pub budget: Option<RetryBudget>,
     /// Only draining binds: a host that is listed as gone, or left out, without having drained may still be
     /// sent to.
-    pub dropped_stay_open: bool,
+    pub unlisted_hosts_usable: bool,
 }
 
 /// The part of the deployment's goal that counts nines: how many tenfold steps the share of worth that is
@@ -166,7 +166,7 @@
     /// How the list comes.
     pub discovery: Discovery,
     /// Whether the weights in the list tell sizes.
-    pub weighted: bool,
+    pub weights_are_sizes: bool,
     /// What is allowed.
     pub limits: Limits,
     /// The figures behind the rules.
@@ -174,11 +174,11 @@
     /// The nines in the goal; none where the deployment counts none. No decision rests on them yet.
     pub nines: Option<Nines>,
     /// Whether it is told how long messages take at a host.
-    pub delays_told: bool,
+    pub message_delays_reported: bool,
     /// A connection to a host that is not made by then counts as refused. No decision rests on it.
     pub connect_timeout: Micros,
     /// A node that neither watched nor asked for this long counts as told of the list. None rests on it.
-    pub must_ask_in: Option<Micros>,
+    pub max_poll_interval: Option<Micros>,
 }
 
 impl Default for Settings {
@@ -192,21 +192,26 @@
             cross_zone_price: 0.0,
             peers_total: 1,
             discovery: Discovery::Pushed,
-            weighted: false,
-            limits: Limits { sends: 3, probes: false, load_told: false, retry_after: None },
+            weights_are_sizes: false,
+            limits: Limits {
+                max_attempts: 3,
+                probes: false,
+                probes_report_load: false,
+                max_retry_after: None,
+            },
             rules: Rules {
                 cold_share: 1.0,
-                cold_time: 0,
+                warmup_time: 0,
                 overload_factor: 1.0,
-                fall_time: 1_000_000,
+                overload_failure_time: 1_000_000,
                 drain_grace: 0,
                 budget: None,
-                dropped_stay_open: false,
+                unlisted_hosts_usable: false,
             },
             nines: None,
-            delays_told: true,
+            message_delays_reported: true,
             connect_timeout: 1_000_000,
-            must_ask_in: None,
+            max_poll_interval: None,
         }
     }
 }
@@ -388,15 +393,15 @@
 
 /// A standing connection that is not at its home: the first host of its walk.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stray {
+pub struct MisplacedConnection {
     /// The connection.
     pub call: CallId,
     /// Where it stands.
-    pub at: HostId,
+    pub current_host: HostId,
     /// Its home.
-    pub home: HostId,
+    pub home_host: HostId,
     /// Its place on the ring: that of its group, where it has one.
-    pub point: u64,
+    pub ring_position: u64,
     /// Its class.
     pub class: usize,
     /// Its load.
@@ -417,7 +422,7 @@
     /// When it was last started; 0 for long ago.
     pub ready_at: Micros,
     /// It is listed as ready, and not passed over for failures.
-    pub takes: bool,
+    pub accepts_connections: bool,
 }
 
 /// What a node is told.
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -114,7 +114,7 @@
             frame: Frame {
                 classes: names.classes().iter().cloned().zip(worths).collect(),
                 balancers: settings.peers_total,
-                longest: settings.limits.retry_after,
+                longest: settings.limits.max_retry_after,
             },
             projects: names.tenants().to_vec(),
             tenants: settings.tenants.clone(),
@@ -389,7 +389,8 @@
                 rebalance.trouble(now, "contracts move connections");
             }
             let policy = &self.policy;
-            let moves = rebalance.turn(now, || View { hosts: policy.hosts(now), strays: policy.strays() });
+            let moves = rebalance
+                .turn(now, || View { hosts: policy.hosts(now), strays: policy.misplaced_connections() });
             actions.extend(moves.into_iter().map(|call| Action::Move { call }));
         }
     }
@@ -490,12 +491,12 @@
 
     /// Whether an attempt that was decided on may still be sent, as the module sees it.
     pub fn may_still(&self, now: Micros, call: &CallId, host: HostId) -> bool {
-        self.policy.may_still(now, call, host)
+        self.policy.attempt_still_allowed(now, call, host)
     }
 
     /// How many instances may be sent something new, as the module sees them.
     pub fn takes(&self, now: Micros) -> usize {
-        self.policy.hosts(now).iter().filter(|host| host.takes).count()
+        self.policy.hosts(now).iter().filter(|host| host.accepts_connections).count()
     }
 
     /// Whether this id is in hand already.
--- a/src/broker/core_tests.rs
+++ b/src/broker/core_tests.rs
@@ -8,11 +8,11 @@
 
 fn core(hosts: u32, teams: &[Contract]) -> Core {
     let class = Class {
-        aim: S,
-        effect: Effect::Free,
-        guard: GuardGroup::All,
-        window: S,
-        message_aim: S,
+        setup_target: S,
+        repeat_safety: RepeatSafety::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: S,
+        message_delay_target: S,
         deadline: 2 * S,
         worth: 1.0,
     };
--- a/src/broker/lease_tests.rs
+++ b/src/broker/lease_tests.rs
@@ -13,11 +13,11 @@
 /// A balancer in zone a, whose plan has this share of its clients in zone b, and may hold so many connections in each.
 fn balancer(share_of_b: u32, second: bool, limits: [u32; 2]) -> Core {
     let class = Class {
-        aim: S,
-        effect: Effect::Free,
-        guard: GuardGroup::All,
-        window: S,
-        message_aim: S,
+        setup_target: S,
+        repeat_safety: RepeatSafety::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: S,
+        message_delay_target: S,
         deadline: 2 * S,
         worth: 1.0,
     };
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -125,15 +125,15 @@
     ) -> Result<(Rc<Broker>, UnboundedReceiver<Order>), SettingsError> {
         let ((orders, ordered), classes) = (unbounded_channel(), settings.classes.len());
         let broker = Broker {
-            delays_told: settings.delays_told,
+            delays_told: settings.message_delays_reported,
             pushed: settings.discovery == Discovery::Pushed,
-            many: settings.peers_total > crate::placement::SPREAD.1,
+            many: settings.peers_total > crate::placement::SMALL_FLEET_NODES,
             longest: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
             turn_at: Cell::new(Micros::MAX),
             sooner: Notify::new(),
             class_deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
             connect_timeout: settings.connect_timeout,
-            must_ask_in: settings.must_ask_in,
+            must_ask_in: settings.max_poll_interval,
             state: RefCell::new(State { core: Core::new(settings, &names, seed)?, ..State::default() }),
             clock: Clock::new(),
             deadlines: Rc::default(),
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -56,7 +56,9 @@
 const CUT: f64 = 0.8;
 /// Hosts that a walk passes, and passes if none has room and at most so many nodes share them. Each copy of a
 /// group costs, but less than to refuse while a host is idle. The first holds for probes too.
-pub(crate) const SPREAD: (u32, u32) = (3, 8);
+const CANDIDATE_HOSTS: u32 = 3;
+pub(crate) const SMALL_FLEET_NODES: u32 = 8;
+const CANDIDATE_HOSTS_IN_SMALL_FLEET: u32 = 8;
 /// Where message delays are not told: the part of its size (in cores) that a host is held to carry, divided
 /// evenly among nodes, and the multiple of that above which connections are moved off.
 const PLANNED: (f64, f64) = (0.8, 1.1);
@@ -402,9 +404,9 @@
             let at = now + wait.min(self.longest_unasked());
             return out.push(Action::Timer { at, token: T_ASK });
         }
-        let (mut joined, stays) = (Vec::new(), self.settings.rules.dropped_stay_open);
+        let (mut joined, stays) = (Vec::new(), self.settings.rules.unlisted_hosts_usable);
         let known = self.settings.limits.probes && !self.hosts.is_empty();
-        let blind = self.settings.weighted && !self.settings.delays_told;
+        let blind = self.settings.weights_are_sizes && !self.settings.message_delays_reported;
         let peers = f64::from(self.settings.peers_total.max(1));
         if kind != ListKind::Changes {
             let keep: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
@@ -473,7 +475,7 @@
 
     /// A node that asks this late asks in time still.
     fn longest_unasked(&self) -> Micros {
-        self.settings.must_ask_in.map_or(Micros::MAX / 4, |most| most / 10 * 8)
+        self.settings.max_poll_interval.map_or(Micros::MAX / 4, |most| most / 10 * 8)
     }
 
     fn ask(&self, out: &mut Vec<Action>) {
@@ -485,7 +487,7 @@
     /// The list calls a host gone or leaves it out. Where only draining binds, that is a claim like any
     /// other: the host keeps its points, books and ceiling, and this node's own attempts tell (`failed`).
     fn dropped(&mut self, now: Micros, host: HostId) {
-        if !self.settings.rules.dropped_stay_open {
+        if !self.settings.rules.unlisted_hosts_usable {
             return self.forget(host);
         }
         if let Some(h) = self.hosts.get_mut(&host) {
@@ -514,19 +516,33 @@
         let view = |(&host, h): (&HostId, &Host)| {
             let takes = h.unlisted.is_none() && !h.unproven && now >= h.ejected_until;
             let (load, size) = (self.load_in(&h.book), self.size_of(h));
-            HostView { host, load, size, warmth: self.warmth(now, h), ready_at: h.entry.ready_at, takes }
+            HostView {
+                host,
+                load,
+                size,
+                warmth: self.warmth(now, h),
+                ready_at: h.entry.ready_at,
+                accepts_connections: takes,
+            }
         };
         listed.map(view).collect()
     }
 
     /// The connections that stand elsewhere than at the first host of their walk. Decides nothing.
-    pub fn strays(&self) -> Vec<Stray> {
+    pub fn misplaced_connections(&self) -> Vec<MisplacedConnection> {
         let there = self.hosts.iter().flat_map(|(&at, h)| h.calls.iter().map(move |call| (at, call)));
         let stray = |(at, call): (HostId, &CallId)| {
             let c = self.calls.get(call).filter(|c| c.begun && !c.leaving && !c.mid_flow)?;
             let home = self.walk(c).next().filter(|&home| home != at)?;
             let (call, point, class, load) = (call.clone(), c.point, c.class, self.load(c));
-            Some(Stray { call, at, home, point, class, load })
+            Some(MisplacedConnection {
+                call,
+                current_host: at,
+                home_host: home,
+                ring_position: point,
+                class,
+                load,
+            })
         };
         there.filter_map(stray).collect()
     }
@@ -655,7 +671,7 @@
         c.tried.push(host);
         // Set up after its aim it is late anyway: the next successor is the better bet, if there is one more.
         let left = c.deadline - now;
-        let aim = self.settings.classes.get(c.class).map_or(left, |class| class.aim);
+        let aim = self.settings.classes.get(c.class).map_or(left, |class| class.setup_target);
         let patience = if c.sends < most && tries >= 1.0 && aim > 0 { aim.min(left) } else { left };
         if let Some(h) = self.hosts.get_mut(&host).filter(|h| h.fails > 0) {
             // Half-open: one trial at a time, until it is answered.
@@ -675,11 +691,11 @@
         let Some(h) = self.hosts.get(&id).filter(|_| self.settings.limits.probes) else { return false };
         let trouble = self.trouble.is_some_and(|at| now < at.saturating_add(TROUBLE));
         let cause = c.returned || c.sends > 0 || h.unlisted.is_some() || h.unproven || trouble;
-        cause && !h.fresh(now) && c.probes <= SPREAD.0 && now + self.probe_wait() < c.deadline
+        cause && !h.fresh(now) && c.probes <= CANDIDATE_HOSTS && now + self.probe_wait() < c.deadline
     }
 
     fn probe_wait(&self) -> Micros {
-        self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(0) / PROBE_PART
+        self.settings.classes.iter().map(|c| c.setup_target).min().unwrap_or(0) / PROBE_PART
     }
 
     fn ask_host(&mut self, now: Micros, host: HostId, out: &mut Vec<Action>) -> &mut Vec<CallId> {
@@ -716,7 +732,7 @@
     /// Most attempts for a request: the least of what the deployment and its tenant's contract allow.
     fn sends(&self, c: &Call) -> u32 {
         let own = c.tenant.and_then(|t| self.settings.tenants[t].sends);
-        own.unwrap_or(u32::MAX).min(self.settings.limits.sends)
+        own.unwrap_or(u32::MAX).min(self.settings.limits.max_attempts)
     }
 
     /// The first successor that may have a request and has room for it: under its bounded share of this
@@ -758,8 +774,8 @@
                 spare.get_or_insert(id);
             }
             full += u32::from(!small);
-            let far = spare.is_none() && self.settings.peers_total <= SPREAD.1;
-            if full >= if far { SPREAD.1 } else { SPREAD.0 } {
+            let far = spare.is_none() && self.settings.peers_total <= SMALL_FLEET_NODES;
+            if full >= if far { CANDIDATE_HOSTS_IN_SMALL_FLEET } else { CANDIDATE_HOSTS } {
                 break;
             }
         }
@@ -803,7 +819,7 @@
         }
         let first = host.late.is_none();
         let (since, _) = *host.late.get_or_insert((now, delay));
-        if self.settings.limits.load_told && now < since + LASTING {
+        if self.settings.limits.probes_report_load && now < since + LASTING {
             // A pause, or one late message? A probe tells whether the host is busy; if it is not, it may be
             // over before anyone has moved.
             if first {
@@ -844,7 +860,7 @@
     }
 
     fn shortest_aim(&self) -> Micros {
-        let aims = self.settings.classes.iter().map(|c| c.message_aim).filter(|&a| a > 0);
+        let aims = self.settings.classes.iter().map(|c| c.message_delay_target).filter(|&a| a > 0);
         aims.min().unwrap_or(Micros::MAX)
     }
 
@@ -862,7 +878,7 @@
     }
 
     fn many(&self) -> bool {
-        self.settings.peers_total > SPREAD.1
+        self.settings.peers_total > SMALL_FLEET_NODES
     }
 
     /// An attempt failed there. Guards against hosts that are silent, fail fast or break what they are sent.
@@ -923,7 +939,7 @@
     }
 
     fn size_of(&self, host: &Host) -> f64 {
-        let told = |weight: &f64| self.settings.weighted && weight.is_finite() && *weight > 0.0;
+        let told = |weight: &f64| self.settings.weights_are_sizes && weight.is_finite() && *weight > 0.0;
         Some(host.entry.weight).filter(told).unwrap_or(1.0)
     }
 
@@ -949,10 +965,10 @@
     fn warmth(&self, now: Micros, host: &Host) -> f64 {
         let rules = &self.settings.rules;
         let age = now.saturating_sub(host.entry.ready_at);
-        if host.entry.ready_at == 0 || age >= rules.cold_time {
+        if host.entry.ready_at == 0 || age >= rules.warmup_time {
             return 1.0;
         }
-        rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64
+        rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.warmup_time as f64
     }
 
     /// Cold budget in hand at a host: how many mean connections it may be sent now, and how fast that grows.
@@ -963,7 +979,7 @@
         let rules = &self.settings.rules;
         let even = self.steady_rate(now) / self.hosts.len().max(1) as f64;
         let pace = rules.overload_factor * warmth * even * HEADROOM;
-        let most = (pace * rules.fall_time as f64 / 2.0).max(if self.many() { 1.0 } else { 0.0 });
+        let most = (pace * rules.overload_failure_time as f64 / 2.0).max(if self.many() { 1.0 } else { 0.0 });
         (host.tokens.0 + pace * now.saturating_sub(host.tokens.1) as f64).min(most)
     }
 
@@ -991,13 +1007,13 @@
     /// as it is large, and the cold ones between: a host is met by its part of all: its own size cancels out.
     fn cold_part(&self, now: Micros, id: HostId, c: &Call, warmth: f64, tokens: f64) -> bool {
         let rules = &self.settings.rules;
-        let gap = (c.gap as f64).min(rules.fall_time as f64);
+        let gap = (c.gap as f64).min(rules.overload_failure_time as f64);
         let fills = if self.measures() {
             SAFE.0 * self.totals.size * 1e6 / LIFE / f64::from(self.settings.peers_total)
         } else {
             SAFE.1 * self.steady_rate(now) * HEADROOM * self.mean()
         };
-        let room = rules.overload_factor * warmth * fills / f64::from(SPREAD.0) * gap;
+        let room = rules.overload_factor * warmth * fills / f64::from(CANDIDATE_HOSTS) * gap;
         (self.measures() || !self.many() && tokens >= 0.0)
             && draw(id, c.own ^ c.deadline) * self.load(c) < room
     }
@@ -1013,7 +1029,7 @@
 
     /// A node that sees little, but knows loads and sizes in the same unit.
     fn measures(&self) -> bool {
-        self.settings.weighted && self.told.last().is_some_and(|told| told.1 > 0.0) && self.little()
+        self.settings.weights_are_sizes && self.told.last().is_some_and(|told| told.1 > 0.0) && self.little()
     }
 
     fn spend(&mut self, now: Micros, id: HostId, call: &CallId) {
@@ -1100,25 +1116,25 @@
     }
 
     /// Whether an attempt may still be sent: its window may have closed since it was decided on.
-    pub fn may_still(&self, now: Micros, call: &CallId, id: HostId) -> bool {
+    pub fn attempt_still_allowed(&self, now: Micros, call: &CallId, id: HostId) -> bool {
         self.calls.get(call).is_none_or(|c| self.may_repeat(now, c, id))
     }
 
     fn may_repeat(&self, now: Micros, c: &Call, id: HostId) -> bool {
         let Some((first, sent)) = c.maybe_ran else { return true };
         let Some(class) = self.settings.classes.get(c.class) else { return false };
-        match class.effect {
-            Effect::Free => true,
-            Effect::SingleShot => false,
-            Effect::Guarded => {
+        match class.repeat_safety {
+            RepeatSafety::Idempotent => true,
+            RepeatSafety::AtMostOnce => false,
+            RepeatSafety::Deduplicated => {
                 let place = |h: HostId| self.hosts.get(&h).map(|h| (h.entry.zone, h.entry.cell));
-                let same = match (class.guard, place(first), place(id)) {
-                    (GuardGroup::All, _, _) => true,
-                    (GuardGroup::Zone, Some(a), Some(b)) => a.0.is_some() && a.0 == b.0,
-                    (GuardGroup::Cell, Some(a), Some(b)) => a.1 == b.1,
+                let same = match (class.dedup_scope, place(first), place(id)) {
+                    (DedupScope::All, _, _) => true,
+                    (DedupScope::Zone, Some(a), Some(b)) => a.0.is_some() && a.0 == b.0,
+                    (DedupScope::Cell, Some(a), Some(b)) => a.1 == b.1,
                     _ => false,
                 };
-                same && now < sent.saturating_add(class.window)
+                same && now < sent.saturating_add(class.dedup_window)
             }
         }
     }
@@ -1126,12 +1142,15 @@
     /// The final answer when nothing more is tried: a refusal where that is honest, else a failure.
     fn give_up(&mut self, id: CallId, out: &mut Vec<Action>) {
         let Some(c) = self.calls.remove(&id) else { return };
-        let class = self.settings.classes.get(c.class).map(|class| (class.effect, class.guard));
-        let repeatable = matches!(class, Some((Effect::Free, _) | (Effect::Guarded, GuardGroup::All)));
+        let class = self.settings.classes.get(c.class).map(|class| (class.repeat_safety, class.dedup_scope));
+        let repeatable = matches!(
+            class,
+            Some((RepeatSafety::Idempotent, _) | (RepeatSafety::Deduplicated, DedupScope::All))
+        );
         let honest = c.maybe_ran.is_none() || repeatable;
         // Spread by chance over all that is allowed (full jitter): those turned away now do not come at once.
         let chance = self.chance();
-        let retry_after = self.settings.limits.retry_after.map(|most| (most as f64 * chance) as Micros);
+        let retry_after = self.settings.limits.max_retry_after.map(|most| (most as f64 * chance) as Micros);
         out.push(if honest { Action::Refuse { call: id, retry_after } } else { Action::Fail { call: id } });
     }
 
--- a/src/rebalance/imbalance.rs
+++ b/src/rebalance/imbalance.rs
@@ -33,7 +33,7 @@
         let side = |h: &HostView| Side {
             load: h.load,
             size: h.size * h.warmth,
-            able: h.takes && back(h) && h.warmth >= WARM,
+            able: h.accepts_connections && back(h) && h.warmth >= WARM,
         };
         let sides: BTreeMap<HostId, Side> = hosts.iter().map(|h| (h.host, side(h))).collect();
         let size: f64 = sides.values().map(|s| s.size).sum();
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -16,7 +16,7 @@
 pub mod imbalance;
 pub mod pace;
 
-use crate::api::{CallId, HostView, Micros, Stray};
+use crate::api::{CallId, HostView, Micros, MisplacedConnection};
 use imbalance::Balance;
 use pace::Pace;
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
     /// The hosts.
     pub hosts: Vec<HostView>,
     /// The connections that stand away from home.
-    pub strays: Vec<Stray>,
+    pub strays: Vec<MisplacedConnection>,
 }
 
 /// What is worth telling the operator.
@@ -146,18 +146,18 @@
         let view = view();
         let mut balance = Balance::new(now, &view.hosts, self.terms.band);
         let before = balance.worst();
-        let mut order: Vec<&Stray> = view
+        let mut order: Vec<&MisplacedConnection> = view
             .strays
             .iter()
             .filter(|s| !self.never.get(s.class).copied().unwrap_or(false))
             .filter(|s| self.since.get(&s.call).is_some_and(|&at| now >= at.saturating_add(self.terms.young)))
-            .filter(|s| balance.would(s.at, s.home, s.load))
+            .filter(|s| balance.would(s.current_host, s.home_host, s.load))
             .collect();
         // Worth least first, then group by group; of one group the light ones first.
-        let rank = |s: &Stray| self.ranks.get(s.class).copied().unwrap_or(0);
+        let rank = |s: &MisplacedConnection| self.ranks.get(s.class).copied().unwrap_or(0);
         order.sort_by(|a, b| {
-            (rank(a), a.at, a.point)
-                .cmp(&(rank(b), b.at, b.point))
+            (rank(a), a.current_host, a.ring_position)
+                .cmp(&(rank(b), b.current_host, b.ring_position))
                 .then(a.load.total_cmp(&b.load))
                 .then(a.call.cmp(&b.call))
         });
@@ -174,13 +174,13 @@
         }
         let mut moves = Vec::new();
         for stray in order {
-            if !balance.would(stray.at, stray.home, stray.load) {
+            if !balance.would(stray.current_host, stray.home_host, stray.load) {
                 continue;
             }
-            if !self.pace.go(now, stray.home) {
+            if !self.pace.go(now, stray.home_host) {
                 continue;
             }
-            balance.shift(stray.at, stray.home, stray.load);
+            balance.shift(stray.current_host, stray.home_host, stray.load);
             moves.push(stray.call.clone());
         }
         self.pace.faster(now);
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -83,7 +83,7 @@
     tracing::debug!("told at the start: {text}");
     operator.warnings.iter().for_each(|w| tracing::warn!("{w}"));
     let (settings, names) = config.settings.translate().map_err(|e| e.to_string())?;
-    let (peers, must_ask_in_us) = (settings.peers_total, settings.must_ask_in);
+    let (peers, must_ask_in_us) = (settings.peers_total, settings.max_poll_interval);
     tracing::debug!(peers, must_ask_in_us, discovery = ?settings.discovery, "discovery: settings");
     let seed = config.seed();
     let admin = config
@@ -98,7 +98,7 @@
     let accounted = operator.terms.is_some();
     let (mut plans, started) = (None, unix_ms());
     if let Some(terms) = operator.failover {
-        if zoned.peers_total > crate::placement::SPREAD.1 {
+        if zoned.peers_total > crate::placement::SMALL_FLEET_NODES {
             // Measured in simulated time: docs/failover.md.
             tracing::warn!("[failover] is not for so many balancers yet: groups are cut by zone, and cold servers may be filled too fast");
         }
@@ -277,9 +277,9 @@
         zone,
         zones,
         classes: broker.names().classes().to_vec(),
-        cold: (settings.rules.cold_share, settings.rules.cold_time),
+        cold: (settings.rules.cold_share, settings.rules.warmup_time),
         balancers: settings.peers_total,
-        longest: settings.limits.retry_after,
+        longest: settings.limits.max_retry_after,
     })
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -385,19 +385,19 @@
                 .iter()
                 .enumerate()
                 .map(|(i, c)| Class {
-                    aim: us(c.aim_ms.unwrap_or(0.0)),
-                    effect: match c.effect.as_deref() {
-                        Some("free") => Effect::Free,
-                        Some("guarded") => Effect::Guarded,
-                        _ => Effect::SingleShot,
+                    setup_target: us(c.aim_ms.unwrap_or(0.0)),
+                    repeat_safety: match c.effect.as_deref() {
+                        Some("free") => RepeatSafety::Idempotent,
+                        Some("guarded") => RepeatSafety::Deduplicated,
+                        _ => RepeatSafety::AtMostOnce,
                     },
-                    guard: match c.group.as_deref() {
-                        Some("all") => GuardGroup::All,
-                        Some("zone") => GuardGroup::Zone,
-                        _ => GuardGroup::Cell,
+                    dedup_scope: match c.group.as_deref() {
+                        Some("all") => DedupScope::All,
+                        Some("zone") => DedupScope::Zone,
+                        _ => DedupScope::Cell,
                     },
-                    window: us(c.window_ms.unwrap_or(0.0)),
-                    message_aim: us(message_aims.get(i).copied().flatten().unwrap_or(0.0)),
+                    dedup_window: us(c.window_ms.unwrap_or(0.0)),
+                    message_delay_target: us(message_aims.get(i).copied().flatten().unwrap_or(0.0)),
                     deadline: us(c.deadline_ms.unwrap_or(0.0)),
                     worth: c.worth.filter(|w| w.is_finite()).unwrap_or(0.0),
                 })
@@ -422,22 +422,25 @@
                 Some("subscribe") => Discovery::Asked,
                 _ => Discovery::Pushed,
             },
-            weighted: matches!(self.weights.as_deref(), Some("nominal" | "rough")),
+            weights_are_sizes: matches!(self.weights.as_deref(), Some("nominal" | "rough")),
             limits: Limits {
-                sends: limits.send_cap.unwrap_or(base.limits.sends),
-                load_told: limits.probes.unwrap_or(false)
+                max_attempts: limits.send_cap.unwrap_or(base.limits.max_attempts),
+                probes_report_load: limits.probes.unwrap_or(false)
                     && self.report.as_ref().is_some_and(|r| r.names.iter().flatten().any(|n| n == "x0")),
-                retry_after: limits.max_retry_after_ms.filter(|_| limits.retry_after == Some(true)).map(us),
+                max_retry_after: limits
+                    .max_retry_after_ms
+                    .filter(|_| limits.retry_after == Some(true))
+                    .map(us),
                 probes: limits.probes.unwrap_or(false),
             },
             rules: Rules {
                 cold_share: rules.cold_share.unwrap_or(base.rules.cold_share),
-                cold_time: us(rules.cold_ms.unwrap_or(0.0)),
+                warmup_time: us(rules.cold_ms.unwrap_or(0.0)),
                 overload_factor: rules.overload_factor.unwrap_or(base.rules.overload_factor),
-                fall_time: rules.fall_ms.map_or(base.rules.fall_time, us),
+                overload_failure_time: rules.fall_ms.map_or(base.rules.overload_failure_time, us),
                 drain_grace: us(rules.drain_grace_ms.unwrap_or(0.0)),
                 budget: budget(rules.look_back_ms, rules.free_resends, rules.extra_share),
-                dropped_stay_open: rules.dropped_stay_open.unwrap_or(false),
+                unlisted_hosts_usable: rules.dropped_stay_open.unwrap_or(false),
             },
             // A goal that names one of the two figures only is not whole: three nines are assumed then.
             nines: self.goal.as_ref().and_then(|g| match (g.nines_part, g.nines_wanted) {
@@ -446,9 +449,9 @@
                     Some(Nines { part: part.unwrap_or(0.0), wanted: wanted.unwrap_or(NINES_WANTED) })
                 }
             }),
-            delays_told: info.and_then(|f| f.tells_delay).unwrap_or(base.delays_told),
+            message_delays_reported: info.and_then(|f| f.tells_delay).unwrap_or(base.message_delays_reported),
             connect_timeout: limits.connect_timeout_ms.map_or(base.connect_timeout, us),
-            must_ask_in: rules.must_ask_in_ms.map(us),
+            max_poll_interval: rules.must_ask_in_ms.map(us),
         };
         let names = Names {
             classes: classes.iter().map(|c| c.name.clone().unwrap_or_default()).collect(),
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -6,7 +6,7 @@
 
 fn rationed(free: f64, share: f64) -> Node {
     let mut s = settings();
-    s.limits.sends = 9;
+    s.limits.max_attempts = 9;
     s.rules.budget = Some(RetryBudget { free, share, span: 5 * S });
     Node::new(s, 1..=20)
 }
@@ -83,7 +83,7 @@
     let mut again = rationed(0.0, 0.5);
     assert_eq!(further(&mut again, S, "a", Outcome::Error), 0, "what the old process took is not its own");
     let mut free = settings();
-    free.limits.sends = 9;
+    free.limits.max_attempts = 9;
     assert_eq!(further(&mut Node::new(free, 1..=20), S, "a", Outcome::Error), 8);
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,28 +6,36 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect, guard: GuardGroup) -> Class {
-    Class { aim: 300 * MS, effect, guard, window: 5 * S, message_aim: 100 * MS, deadline: 0, worth: 0.0 }
+pub fn class(repeat_safety: RepeatSafety, dedup_scope: DedupScope) -> Class {
+    Class {
+        setup_target: 300 * MS,
+        repeat_safety,
+        dedup_scope,
+        dedup_window: 5 * S,
+        message_delay_target: 100 * MS,
+        deadline: 0,
+        worth: 0.0,
+    }
 }
 
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Effect::Free, GuardGroup::All),
-            class(Effect::Guarded, GuardGroup::Cell),
-            class(Effect::SingleShot, GuardGroup::All),
+            class(RepeatSafety::Idempotent, DedupScope::All),
+            class(RepeatSafety::Deduplicated, DedupScope::Cell),
+            class(RepeatSafety::AtMostOnce, DedupScope::All),
         ],
         peers_total: 3,
         rules: Rules {
             cold_share: 0.2,
-            cold_time: 20 * S,
+            warmup_time: 20 * S,
             overload_factor: 3.0,
-            fall_time: 3 * S,
+            overload_failure_time: 3 * S,
             drain_grace: S,
             budget: None,
-            dropped_stay_open: false,
+            unlisted_hosts_usable: false,
         },
-        limits: Limits { sends: 4, probes: false, load_told: false, retry_after: None },
+        limits: Limits { max_attempts: 4, probes: false, probes_report_load: false, max_retry_after: None },
         ..Settings::default()
     }
 }
--- a/tests/doubt.rs
+++ b/tests/doubt.rs
@@ -6,7 +6,8 @@
 
 fn probing() -> Settings {
     let mut s = settings();
-    s.limits = Limits { sends: 4, probes: true, load_told: true, retry_after: Some(2 * S) };
+    s.limits =
+        Limits { max_attempts: 4, probes: true, probes_report_load: true, max_retry_after: Some(2 * S) };
     s
 }
 
@@ -95,7 +96,7 @@
         }
     };
     assert!(advice(probing().limits).is_some_and(|after| after <= 2 * S));
-    assert_eq!(advice(Limits { retry_after: None, ..probing().limits }), None);
+    assert_eq!(advice(Limits { max_retry_after: None, ..probing().limits }), None);
 }
 
 #[test]
--- a/tests/dropped.rs
+++ b/tests/dropped.rs
@@ -6,7 +6,7 @@
 
 fn open_list() -> Settings {
     let mut s = settings();
-    s.rules.dropped_stay_open = true;
+    s.rules.unlisted_hosts_usable = true;
     s
 }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -110,7 +110,12 @@
 fn when_most_hosts_fail_the_live_ones_come_first_and_the_circle_last() {
     let mut node = Node::new(
         Settings {
-            limits: Limits { sends: 9, probes: false, load_told: false, retry_after: None },
+            limits: Limits {
+                max_attempts: 9,
+                probes: false,
+                probes_report_load: false,
+                max_retry_after: None,
+            },
             ..settings()
         },
         1..=5,
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -3,7 +3,7 @@
 mod peers;
 use oakdeal::rebalance::imbalance::Balance;
 use oakdeal::rebalance::{Note, Rebalance, Terms, View};
-use oakdeal::{CallId, HostView, Micros, Stray};
+use oakdeal::{CallId, HostView, Micros, MisplacedConnection};
 use peers::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 struct Fleet {
     hosts: Vec<HostView>,
-    strays: Vec<Stray>,
+    strays: Vec<MisplacedConnection>,
     /// What stands at home, by host.
     settled: Vec<f64>,
 }
@@ -31,17 +31,17 @@
     fn view(&self) -> View {
         let mut hosts = self.hosts.clone();
         for (i, host) in hosts.iter_mut().enumerate() {
-            let there = self.strays.iter().filter(|s| s.at == host.host);
+            let there = self.strays.iter().filter(|s| s.current_host == host.host);
             host.load = self.settled[i] + there.map(|s| s.load).sum::<f64>();
         }
         View { hosts, strays: self.strays.clone() }
     }
 
     /// A moved client has come home.
-    fn home(&mut self, call: &CallId) -> Stray {
+    fn home(&mut self, call: &CallId) -> MisplacedConnection {
         let i = self.strays.iter().position(|s| s.call == *call).expect("it stood");
         let stray = self.strays.remove(i);
-        let home = self.hosts.iter().position(|h| h.host == stray.home).expect("a host");
+        let home = self.hosts.iter().position(|h| h.host == stray.home_host).expect("a host");
         self.settled[home] += stray.load;
         stray
     }
@@ -58,18 +58,18 @@
             size,
             warmth: 1.0,
             ready_at: if back { START - 30 * S } else { 0 },
-            takes: true,
+            accepts_connections: true,
         };
         let all = strays.into_iter().enumerate().filter(|(_, s)| s.0 % n != s.1 % n);
         Fleet {
             hosts: hosts.iter().enumerate().map(view).collect(),
             settled: hosts.iter().map(|h| h.2).collect(),
             strays: all
-                .map(|(i, (at, home, point, class, load))| Stray {
+                .map(|(i, (at, home, point, class, load))| MisplacedConnection {
                     call: format!("{i:04}").as_str().into(),
-                    at: (at % n) as u32,
-                    home: (home % n) as u32,
-                    point,
+                    current_host: (at % n) as u32,
+                    home_host: (home % n) as u32,
+                    ring_position: point,
                     class,
                     load,
                 })
@@ -102,7 +102,7 @@
             for call in moves {
                 times.push(now);
                 let stray = fleet.home(&call);
-                let home = fleet.hosts.iter().find(|h| h.host == stray.home).expect("a host");
+                let home = fleet.hosts.iter().find(|h| h.host == stray.home_host).expect("a host");
                 prop_assert!(home.ready_at > 0, "moved to one that was never away");
             }
             let after = Balance::new(now, &fleet.view().hosts, 0.1).worst();
@@ -118,13 +118,27 @@
     }
 }
 
-fn stray(call: &str, point: u64, class: usize, load: f64) -> Stray {
-    Stray { call: call.into(), at: 1, home: 2, point, class, load }
+fn stray(call: &str, point: u64, class: usize, load: f64) -> MisplacedConnection {
+    MisplacedConnection {
+        call: call.into(),
+        current_host: 1,
+        home_host: 2,
+        ring_position: point,
+        class,
+        load,
+    }
 }
 
 /// Two servers of which the second is back and empty.
-fn back(strays: Vec<Stray>) -> Fleet {
-    let host = |host, ready_at| HostView { host, load: 0.0, size: 1.0, warmth: 1.0, ready_at, takes: true };
+fn back(strays: Vec<MisplacedConnection>) -> Fleet {
+    let host = |host, ready_at| HostView {
+        host,
+        load: 0.0,
+        size: 1.0,
+        warmth: 1.0,
+        ready_at,
+        accepts_connections: true,
+    };
     Fleet { hosts: vec![host(1, 0), host(2, START - 60 * S)], strays, settled: vec![0.0, 0.0] }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -63,7 +63,7 @@
         assert!(failed(&node.finished(MS, &call, last, Outcome::Error)));
     }
     let mut late = settings();
-    late.classes[1].window = MS;
+    late.classes[1].dedup_window = MS;
     let mut node = Node::new(late, 1..=6);
     let host = sent(&node.demand(0, "a", 1, None)).expect("placed");
     assert!(failed(&node.finished(5 * MS, "a", host, Outcome::Error)), "past the window");
@@ -137,13 +137,13 @@
 
 #[test]
 fn odd_but_legal_settings_give_sane_decisions_and_impossible_ones_a_plain_error() {
-    let mut odd = Settings { peers_total: 0, weighted: true, ..Settings::default() };
+    let mut odd = Settings { peers_total: 0, weights_are_sizes: true, ..Settings::default() };
     odd.tenants = vec![Tenant::default()];
     let mut node = Node::new(odd.clone(), []);
     node.list(0, ListKind::Full, vec![Entry { weight: 0.0, ..Entry::ready(1) }]);
     let tenant = Some(7);
     assert_eq!(sent(&node.tell(0, Event::Demand(Demand { tenant, ..Demand::new("a", 0, S) }))), Some(1));
-    odd.limits.sends = 0;
+    odd.limits.max_attempts = 0;
     assert!(refused(&Node::new(odd.clone(), 1..=3).demand(0, "a", 0, None)));
     odd.rules.cold_share = f64::NAN;
     let error = PlacementPolicy::new(odd, 1).err().expect("refused");
@@ -250,7 +250,7 @@
     for (peers, service) in [(1, 50 * MS), (3, 50 * MS), (12, 50 * MS), (100, 50 * MS), (100, 58 * MS)] {
         let must = 10 * S;
         let mut s = settings();
-        (s.discovery, s.peers_total, s.must_ask_in) = (Discovery::Asked, peers, Some(must));
+        (s.discovery, s.peers_total, s.max_poll_interval) = (Discovery::Asked, peers, Some(must));
         for lost_at in [None, Some(S)] {
             let seen = CrowdedDiscovery::new(service, S).serve(&s, peers, lost_at);
             assert!(seen.longest_unasked < must, "{peers}: asked after {} us", seen.longest_unasked);
@@ -271,7 +271,7 @@
     // As many calls as discovery can answer in 6 s, or a few of them.
     for (peers, service) in [(300, 18 * MS), (900, 6 * MS)] {
         let mut s = settings();
-        (s.discovery, s.peers_total, s.must_ask_in) = (Discovery::Asked, peers, Some(10 * S));
+        (s.discovery, s.peers_total, s.max_poll_interval) = (Discovery::Asked, peers, Some(10 * S));
         for (asking, lost_at) in [(peers / 6, None), (peers * 7 / 10, None), (peers, None), (peers, Some(S))]
         {
             let seen = CrowdedDiscovery::new(service, 2 * S).serve(&s, asking, lost_at);
@@ -321,7 +321,7 @@
         policy.handle(now, event, &mut out);
         sent(&out)
     };
-    let (start, span) = (40 * S, s.rules.fall_time);
+    let (start, span) = (40 * S, s.rules.overload_failure_time);
     let entries = |restarted: bool| -> Vec<Entry> {
         let at = |h: HostId| if restarted && cold.contains(&h) { start } else { 0 };
         (1..=hosts).map(|h| Entry { ready_at: at(h), ..Entry::ready(h) }).collect()
@@ -362,7 +362,7 @@
     }
     // The stated budget for one: factor x warmth x an even share of arrivals x span, warmth at the span's end.
     let rules = &s.rules;
-    let warmth = rules.cold_share + (1.0 - rules.cold_share) * span as f64 / rules.cold_time as f64;
+    let warmth = rules.cold_share + (1.0 - rules.cold_share) * span as f64 / rules.warmup_time as f64;
     let even = f64::from(nodes) / f64::from(hosts);
     at_cold as f64 / cold.len() as f64 / (rules.overload_factor * warmth * even * span as f64 / S as f64)
 }
@@ -384,8 +384,8 @@
 /// clients reaches all at once after a long quiet; then they come at unequal rates.
 fn sent_by_size(nodes: u32, seed: u64, of: Option<f64>) -> Vec<f64> {
     let (mut s, load, life) = (settings(), 40e3, 45.0);
-    (s.peers_total, s.weighted, s.rules.fall_time) = (nodes, true, 1_500 * MS);
-    let (start, span, end) = (60 * S, s.rules.fall_time, 8 * S);
+    (s.peers_total, s.weights_are_sizes, s.rules.overload_failure_time) = (nodes, true, 1_500 * MS);
+    let (start, span, end) = (60 * S, s.rules.overload_failure_time, 8 * S);
     let size = |h: HostId| [1.5, 2.0, 4.0][h as usize % 3];
     // Where hosts of one size are looked at it must not hang on the arcs that a few groups are in.
     let group = |n: u32| of.map_or(format!("g{}", n % 6), |_| format!("g{seed}-{}", n % 30));
@@ -417,7 +417,7 @@
     }
     let may = |h: HostId, age: Micros, span: Micros| {
         let rules = &s.rules;
-        let warmth = rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.cold_time as f64;
+        let warmth = rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.warmup_time as f64;
         rules.overload_factor * warmth * size(h) * 1e6 / load / life * span as f64 / S as f64
     };
     let within = |h: HostId, from: Micros, to: Micros| {
@@ -495,7 +495,7 @@
 #[test]
 fn times_beyond_any_clock_do_not_panic() {
     let mut huge = settings();
-    (huge.rules.drain_grace, huge.classes[1].window) = (Micros::MAX, Micros::MAX);
+    (huge.rules.drain_grace, huge.classes[1].dedup_window) = (Micros::MAX, Micros::MAX);
     let mut node = Node::new(huge, 1..=2);
     let out = node.tell(S, Event::Demand(Demand { mid_flow: true, ..Demand::new("a", 1, Micros::MAX) }));
     let host = sent(&out).expect("placed");
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -70,7 +70,7 @@
 fn nodes_that_see_little_fill_hosts_by_their_size() {
     let (small, large) = (1..=30, 31..=60);
     let mut s = settings();
-    (s.peers_total, s.weighted) = (100, true);
+    (s.peers_total, s.weights_are_sizes) = (100, true);
     let sized = |host| Entry { weight: if small.contains(&host) { 1.5 } else { 4.0 }, ..Entry::ready(host) };
     let list: Vec<Entry> = small.clone().chain(large).map(sized).collect();
     let mut at_small = 0;
@@ -89,7 +89,7 @@
 #[test]
 fn where_a_node_sees_little_most_of_a_group_meets_at_few_hosts() {
     let mut s = settings();
-    (s.peers_total, s.weighted) = (100, true);
+    (s.peers_total, s.weights_are_sizes) = (100, true);
     let list = || {
         (1..=60).map(|h| Entry { weight: if h % 4 == 0 { 4.0 } else { 1.5 }, ..Entry::ready(h) }).collect()
     };
@@ -118,8 +118,8 @@
 fn where_most_hosts_are_cold_nodes_that_see_little_refuse_by_chance_and_else_nobody() {
     let refusals = |cold: HostId, load: f64| {
         let mut s = settings();
-        (s.peers_total, s.weighted, s.limits.retry_after) = (100, true, Some(2 * S));
-        (s.rules.cold_share, s.rules.cold_time) = (0.1, 20 * S);
+        (s.peers_total, s.weights_are_sizes, s.limits.max_retry_after) = (100, true, Some(2 * S));
+        (s.rules.cold_share, s.rules.warmup_time) = (0.1, 20 * S);
         let mut waits = Vec::new();
         for n in 0..300 {
             let mut node = Node(PlacementPolicy::new(s.clone(), n).expect("settings"));
@@ -233,7 +233,7 @@
 fn where_no_delay_is_told_a_host_keeps_what_its_size_can_carry_and_the_rest_is_moved() {
     let left = |delays_told: bool| {
         let mut s = settings();
-        (s.weighted, s.delays_told, s.peers_total) = (true, delays_told, 1);
+        (s.weights_are_sizes, s.message_delays_reported, s.peers_total) = (true, delays_told, 1);
         let mut node = Node(PlacementPolicy::new(s, 1).expect("settings"));
         let sized = |host, weight| Entry { weight, ..Entry::ready(host) };
         node.list(0, ListKind::Cached, vec![sized(1, 1.0), sized(2, 8.0), sized(3, 8.0)]);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -124,13 +124,13 @@
 fn the_settings_of_wrong_lists_and_nines_arrive_and_absent_ones_mean_what_they_did() {
     let read = |text: &str| serde_json::from_str::<oakdeal::wire::Env>(text).expect("settings").translate();
     let (plain, _) = read("{}").expect("nothing stated");
-    assert!(!plain.rules.dropped_stay_open);
+    assert!(!plain.rules.unlisted_hosts_usable);
     assert_eq!(plain.nines, None);
     let (told, _) = read(
         r#"{"Goal":{"Whole":0.8,"NinesPart":0.2,"NinesWanted":2},"Guarantees":{"DroppedStayOpen":true}}"#,
     )
     .expect("stated");
-    assert!(told.rules.dropped_stay_open);
+    assert!(told.rules.unlisted_hosts_usable);
     assert_eq!(told.nines, Some(oakdeal::Nines { part: 0.2, wanted: 2.0 }));
     for bad in [r#"{"NinesPart":0.2,"NinesWanted":0}"#, r#"{"NinesPart":-1,"NinesWanted":2}"#] {
         let (settings, _) = read(&format!(r#"{{"Goal":{bad}}}"#)).expect("read");
