--- a/lab/src/virt/common.rs
+++ b/lab/src/virt/common.rs
@@ -28,7 +28,7 @@
             scenario.class.iter().map(|c| (c.worth, c.name.clone())).collect();
         classes.sort_by(|a, b| b.0.total_cmp(&a.0));
         let zones = scenario.zone.iter().map(|zone| zone.name.clone()).collect();
-        let tell = terms.tell;
+        let tell = terms.digest_interval;
         let planner = Planner::new(terms, zones, classes.into_iter().map(|(_, name)| name).collect());
         Ok(Some(Common { planner, plan: None, tell, told: 0 }))
     }
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -409,7 +409,7 @@
     }
 
     /// Zones by the fleet's plan from now on.
-    pub fn zones(&mut self, terms: crate::failover::Terms, place: Place) {
+    pub fn zones(&mut self, terms: crate::failover::FailoverSettings, place: Place) {
         self.zones = Some(Zones::new(terms, place));
     }
 
--- a/src/broker/lease_tests.rs
+++ b/src/broker/lease_tests.rs
@@ -38,7 +38,10 @@
         balancers: 1,
         ..Place::default()
     };
-    core.zones(failover::Terms { over: 1, ..failover::Terms::default() }, place);
+    core.zones(
+        failover::FailoverSettings { changeover_window: 1, ..failover::FailoverSettings::default() },
+        place,
+    );
     let entry = |(host, zone)| Entry { zone: Some(zone), ..Entry::ready(host) };
     let hosts = HOSTS.map(entry).to_vec();
     core.tell(S, Event::Members { kind: ListKind::Cached, hosts }, &mut Vec::new());
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -408,7 +408,7 @@
     }
 
     /// Zones by the fleet's plan from now on.
-    pub fn zones(&self, terms: crate::failover::Terms, place: zones::Place) {
+    pub fn zones(&self, terms: crate::failover::FailoverSettings, place: zones::Place) {
         self.state.borrow_mut().core.zones(terms, place);
     }
 
--- a/src/broker/zones.rs
+++ b/src/broker/zones.rs
@@ -6,7 +6,7 @@
 use crate::failover::evidence::{Digest, Event as Note, Meter, Seen};
 use crate::failover::follow::{Choice, Follower};
 use crate::failover::plan::Plan;
-use crate::failover::Terms;
+use crate::failover::FailoverSettings;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh64::xxh64;
 
@@ -86,9 +86,9 @@
 }
 
 impl Zones {
-    /// Those of a balancer that follows plans by these terms.
-    pub fn new(terms: Terms, place: Place) -> Zones {
-        let follower = Follower::new(terms, &place.name, place.started, &place.zone);
+    /// Those of a balancer that follows plans by these settings.
+    pub fn new(settings: FailoverSettings, place: Place) -> Zones {
+        let follower = Follower::new(settings, &place.name, place.started, &place.zone);
         let (meter, instances) = (Meter::default(), BTreeMap::new());
         let phase = xxh64(place.name.as_bytes(), 1) % 4_096;
         let occupancies = Occupancies::default();
@@ -291,8 +291,8 @@
             age if e.ready_at == 0 || age >= span => 1.0,
             age => cold + (1.0 - cold) * age as f64 / span as f64,
         };
-        let carries = self.follower.terms().connections;
-        let zones: Vec<String> = self.place.zones.iter().take(crate::failover::ZONES).cloned().collect();
+        let carries = self.follower.settings().connections_per_server;
+        let zones: Vec<String> = self.place.zones.iter().take(crate::failover::MAX_ZONES).cloned().collect();
         let seen = zones.into_iter().enumerate().map(|(zone, name)| {
             let room = self.ready(zone).map(|e| e.weight * warmth(e) * carries).sum::<f64>() as u32;
             let Occupancy { established: stands, in_flight } = self.occupancies.of(zone);
@@ -300,7 +300,7 @@
         });
         let zones = seen.collect();
         let classes: Vec<String> =
-            self.place.classes.iter().take(crate::failover::CLASSES).cloned().collect();
+            self.place.classes.iter().take(crate::failover::MAX_CLASSES).cloned().collect();
         let wanted = classes.into_iter().enumerate().map(|(class, name)| {
             (name, wants.get(&class).copied().unwrap_or_default() + self.meter.unserved(now, class))
         });
--- a/src/failover/evidence.rs
+++ b/src/failover/evidence.rs
@@ -4,7 +4,7 @@
 //! is bad when more than half of those who have something to say say so. One that sees every zone fail is cut off itself,
 //! and has no voice. So a zone that is cut off from the others is bad from them and good from itself.
 
-use super::{Terms, CLASSES, ZONES};
+use super::{FailoverSettings, MAX_CLASSES, MAX_ZONES};
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -70,7 +70,7 @@
 impl Digest {
     /// Whether it is as small as a digest is.
     pub fn fits(&self) -> bool {
-        self.zones.len() <= ZONES && self.wants.len() <= CLASSES
+        self.zones.len() <= MAX_ZONES && self.wants.len() <= MAX_CLASSES
     }
 }
 
@@ -173,9 +173,9 @@
 const ENOUGH: u32 = 3;
 
 /// One balancer's word on a zone, and whether it is about service: a probe that is answered shows only that the way is open.
-fn word(seen: &Seen, terms: &Terms) -> Verdict {
+fn word(seen: &Seen, settings: &FailoverSettings) -> Verdict {
     let (bad, all) = (seen.failed + seen.broken, seen.up + seen.failed + seen.broken);
-    let slow = seen.up >= ENOUGH && u64::from(seen.setup) * 1_000 > terms.slow;
+    let slow = seen.up >= ENOUGH && u64::from(seen.setup) * 1_000 > settings.slow_setup;
     match seen.probed {
         _ if bad >= ENOUGH && 2 * bad > all || slow => Verdict::Bad,
         _ if seen.up > 0 && 4 * bad < all => Verdict::Good,
@@ -190,14 +190,14 @@
 pub type Digests = BTreeMap<String, Digest>;
 
 /// What the balancers of a zone say together of a way from there.
-pub fn verdict(digests: &Digests, from: &str, to: &str, terms: &Terms) -> Verdict {
+pub fn verdict(digests: &Digests, from: &str, to: &str, settings: &FailoverSettings) -> Verdict {
     let there = digests.values().filter(|digest| digest.zone == from);
     let voices = there.filter_map(|digest| {
-        let words: Vec<Verdict> = digest.zones.values().map(|seen| word(seen, terms)).collect();
+        let words: Vec<Verdict> = digest.zones.values().map(|seen| word(seen, settings)).collect();
         let told = words.iter().filter(|word| **word != Verdict::Unknown).count();
         // It sees everything fail: that is its own link.
         let blind = told >= 2 && !words.contains(&Verdict::Good);
-        digest.zones.get(to).filter(|_| !blind).map(|seen| word(seen, terms))
+        digest.zones.get(to).filter(|_| !blind).map(|seen| word(seen, settings))
     });
     let (mut good, mut bad) = (0, 0);
     for voice in voices {
@@ -280,7 +280,7 @@
     /// one in each is cut off itself.
     #[test]
     fn no_minority_condemns_a_zone_and_a_lost_one_is_found_all_the_same() {
-        let terms = Terms::default();
+        let settings = FailoverSettings::default();
         for lost in [false, true] {
             let truth = |zone: &str| if lost && zone == "b" { DOWN } else { UP };
             let mut digests = Digests::new();
@@ -305,7 +305,7 @@
             for from in ["a", "b", "c"] {
                 for to in ["a", "b", "c"] {
                     let wanted = if lost && to == "b" { Verdict::Bad } else { Verdict::Good };
-                    assert_eq!(verdict(&digests, from, to, &terms), wanted, "{lost}: {from} to {to}");
+                    assert_eq!(verdict(&digests, from, to, &settings), wanted, "{lost}: {from} to {to}");
                 }
             }
         }
@@ -315,19 +315,19 @@
     /// fails connections, or takes seconds, and passes for sound.
     #[test]
     fn ways_are_told_apart_and_probes_alone_make_no_zone_good() {
-        let terms = Terms::default();
+        let settings = FailoverSettings::default();
         let cut = Seen { up: 0, failed: 0, broken: 0, probed: (0, 3), ..UP };
         let digests: Digests =
             [digest("n1", "a", &[("a", UP), ("b", cut)]), digest("n2", "b", &[("a", cut), ("b", UP)])].into();
-        assert_eq!(verdict(&digests, "a", "b", &terms), Verdict::Bad);
-        assert_eq!(verdict(&digests, "b", "b", &terms), Verdict::Good);
+        assert_eq!(verdict(&digests, "a", "b", &settings), Verdict::Bad);
+        assert_eq!(verdict(&digests, "b", "b", &settings), Verdict::Good);
         let fails = Seen { probed: (3, 0), ..DOWN };
         let slow = Seen { setup: 1_500, ..UP };
         for seen in [fails, slow] {
             let digests: Digests = [digest("n1", "a", &[("a", seen), ("b", UP)])].into();
-            assert_eq!(verdict(&digests, "a", "a", &terms), Verdict::Bad, "{seen:?}");
+            assert_eq!(verdict(&digests, "a", "a", &settings), Verdict::Bad, "{seen:?}");
         }
-        assert_eq!(verdict(&digests, "c", "a", &terms), Verdict::Unknown);
+        assert_eq!(verdict(&digests, "c", "a", &settings), Verdict::Unknown);
     }
 
     /// Guards against counts that never end, and memory that grows with clients.
--- a/src/failover/follow.rs
+++ b/src/failover/follow.rs
@@ -6,7 +6,7 @@
 //! balancer judges alone within its own zone, and sends nothing to another zone beyond what stands there.
 
 use super::plan::{Plan, State};
-use super::Terms;
+use super::FailoverSettings;
 use crate::api::Micros;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh64::xxh64;
@@ -23,7 +23,7 @@
 }
 
 /// From so many thousandths on shares are held to be whole: each is rounded down.
-const ROUNDED: u32 = 1_000 - super::ZONES as u32;
+const ROUNDED: u32 = 1_000 - super::MAX_ZONES as u32;
 
 /// How many connections a balancer may hold in a zone, attempts in flight included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 /// The follower.
 pub struct Follower {
-    terms: Terms,
+    settings: FailoverSettings,
     name: String,
     /// When its process started.
     started: u64,
@@ -66,10 +66,10 @@
 
 impl Follower {
     /// That of a balancer in a zone, whose process was started then.
-    pub fn new(terms: Terms, name: &str, started: u64, zone: &str) -> Follower {
+    pub fn new(settings: FailoverSettings, name: &str, started: u64, zone: &str) -> Follower {
         let me = xxh64(name.as_bytes(), 0);
         Follower {
-            terms,
+            settings,
             name: name.into(),
             started,
             me,
@@ -84,13 +84,13 @@
     }
 
     /// What it goes by.
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    pub fn settings(&self) -> &FailoverSettings {
+        &self.settings
     }
 
     /// The record has this plan.
     pub fn take(&mut self, now: Micros, plan: &Plan) {
-        let until = now + self.terms.valid;
+        let until = now + self.settings.plan_lifetime;
         let age = |plan: &Plan| (plan.serial, plan.renewed);
         let next = self.next.as_ref().map(|next| &next.0);
         let followed = self.plan.as_ref().map(|plan| &plan.0);
@@ -104,7 +104,7 @@
         if let Some(known) = self.plan.as_mut().filter(|known| known.0.serial == plan.serial) {
             *known = (plan.clone(), until);
         } else {
-            let jitter = xxh64(&plan.serial.to_le_bytes(), self.me) % self.terms.over.max(1);
+            let jitter = xxh64(&plan.serial.to_le_bytes(), self.me) % self.settings.changeover_window.max(1);
             let at = match &self.next {
                 Some(next) if next.0.serial == plan.serial => next.1,
                 _ => now + jitter,
@@ -167,7 +167,7 @@
                 Choice::To(self.zone.clone(), then)
             }
             // One that has just started soon hears of the plan.
-            (None, None) if self.begun.is_none_or(|begun| now < begun + self.terms.valid) => {
+            (None, None) if self.begun.is_none_or(|begun| now < begun + self.settings.plan_lifetime) => {
                 Choice::To(self.zone.clone(), None)
             }
             (None, None) => Choice::Own,
@@ -201,7 +201,7 @@
     pub fn moves(&mut self, now: Micros, wanted: usize, balancers: u32) -> usize {
         let span = now.saturating_sub(self.moved).min(1_000_000);
         self.moved = now;
-        let most = self.terms.moves / f64::from(balancers.max(1));
+        let most = self.settings.fleet_moves_per_second / f64::from(balancers.max(1));
         self.due = (self.due + most * span as f64 / 1e6).min(most.max(1.0));
         let n = (self.due.floor() as usize).min(wanted);
         self.due -= n as f64;
--- a/src/failover/follow_tests.rs
+++ b/src/failover/follow_tests.rs
@@ -21,8 +21,12 @@
 /// all, or after nobody renews it.
 #[test]
 fn shares_are_kept_by_client_and_a_plan_ends_when_nobody_renews_it() {
-    let terms = Terms { over: 1_000_000, valid: 10_000_000, ..Terms::default() };
-    let mut f = Follower::new(terms.clone(), "n1", 1, "a");
+    let settings = FailoverSettings {
+        changeover_window: 1_000_000,
+        plan_lifetime: 10_000_000,
+        ..FailoverSettings::default()
+    };
+    let mut f = Follower::new(settings.clone(), "n1", 1, "a");
     assert_eq!(f.choice(0, "k", "c"), Choice::To("a".into(), None));
     f.take(0, &plan(1, &[("a", 0.7), ("b", 0.2)]));
     f.turn(1_000_000, |_| 0);
@@ -52,7 +56,7 @@
     // Not all change at one moment.
     let mut at: Vec<Micros> = Vec::new();
     for n in 0..20 {
-        let mut f = Follower::new(terms.clone(), &format!("n{n}"), 1, "a");
+        let mut f = Follower::new(settings.clone(), &format!("n{n}"), 1, "a");
         f.take(0, &plan(1, &[("a", 1.0)]));
         at.push(
             (0..11)
@@ -72,7 +76,7 @@
 /// Guards against all of a zone that fails being tried at one that has room for a part of them.
 #[test]
 fn as_many_of_a_zones_clients_have_a_second_zone_as_find_room_there() {
-    let mut f = Follower::new(Terms::default(), "n1", 1, "a");
+    let mut f = Follower::new(FailoverSettings::default(), "n1", 1, "a");
     let mut plan = plan(1, &[("a", 1.0)]);
     let zone = plan.zones.get_mut("a").unwrap();
     (zone.then, zone.part) = (Some("b".into()), 300);
@@ -87,7 +91,12 @@
 /// Guards against a fleet that moves all connections at once.
 #[test]
 fn moves_keep_the_fleets_pace() {
-    let mut f = Follower::new(Terms { moves: 40.0, ..Terms::default() }, "n1", 1, "a");
+    let mut f = Follower::new(
+        FailoverSettings { fleet_moves_per_second: 40.0, ..FailoverSettings::default() },
+        "n1",
+        1,
+        "a",
+    );
     let moved: usize = (0..500u64).map(|n| f.moves(1_000_000 + n * 20_000, 1_000, 10)).sum();
     assert!((36..=44).contains(&moved), "{moved} in ten seconds of 4 a second");
 }
@@ -99,7 +108,12 @@
 
 #[test]
 fn a_balancer_holds_what_its_plan_grants_it_and_after_the_plan_only_what_stood() {
-    let mut f = Follower::new(Terms { over: 1, valid: 10_000_000, ..Terms::default() }, "n1", 1, "a");
+    let mut f = Follower::new(
+        FailoverSettings { changeover_window: 1, plan_lifetime: 10_000_000, ..FailoverSettings::default() },
+        "n1",
+        1,
+        "a",
+    );
     f.turn(0, |_| 0);
     assert_eq!((f.limit("a"), f.limit("b")), (Limit::Unbounded, Limit::Unbounded));
     f.take(0, &granted(1, &[4, 7]));
@@ -120,12 +134,14 @@
 
 #[test]
 fn a_balancer_that_the_plan_does_not_name_serves_its_own_zone_only() {
-    let mut f = Follower::new(Terms { over: 1, ..Terms::default() }, "n2", 1, "a");
+    let mut f =
+        Follower::new(FailoverSettings { changeover_window: 1, ..FailoverSettings::default() }, "n2", 1, "a");
     f.take(0, &granted(1, &[4, 7]));
     f.turn(1, |_| 0);
     assert_eq!((f.limit("a"), f.limit("b")), (Limit::Unbounded, Limit::AtMost(0)));
     // Nor one whose name an earlier process had.
-    let mut f = Follower::new(Terms { over: 1, ..Terms::default() }, "n1", 2, "a");
+    let mut f =
+        Follower::new(FailoverSettings { changeover_window: 1, ..FailoverSettings::default() }, "n1", 2, "a");
     f.take(0, &granted(1, &[4, 7]));
     f.turn(1, |_| 0);
     assert_eq!((f.limit("a"), f.limit("b")), (Limit::Unbounded, Limit::AtMost(0)));
@@ -133,7 +149,12 @@
 
 #[test]
 fn a_balancer_without_any_plan_serves_its_own_zone_until_one_should_have_come() {
-    let mut f = Follower::new(Terms { valid: 10_000_000, ..Terms::default() }, "n1", 1, "a");
+    let mut f = Follower::new(
+        FailoverSettings { plan_lifetime: 10_000_000, ..FailoverSettings::default() },
+        "n1",
+        1,
+        "a",
+    );
     f.turn(5, |_| 0);
     assert_eq!(f.choice(10_000_004, "k", "c"), Choice::To("a".into(), None));
     assert_eq!(f.choice(10_000_005, "k", "c"), Choice::Own);
@@ -144,7 +165,12 @@
 /// `another plan is followed serial=1` every 3 s, at three balancers that were cut off from the group.
 #[test]
 fn a_plan_that_has_ended_is_not_followed_again_until_it_is_renewed() {
-    let mut f = Follower::new(Terms { over: 1, valid: 10_000_000, ..Terms::default() }, "n1", 1, "a");
+    let mut f = Follower::new(
+        FailoverSettings { changeover_window: 1, plan_lifetime: 10_000_000, ..FailoverSettings::default() },
+        "n1",
+        1,
+        "a",
+    );
     let mut turn = |now: Micros, plan: &Plan| {
         f.take(now, plan);
         f.turn(now, |_| 0);
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -21,40 +21,40 @@
 /// The task of making the plan.
 pub const TASK: &str = "failover";
 /// Zones and classes that a digest and a plan have at most.
-pub const ZONES: usize = 8;
-/// See `ZONES`.
-pub const CLASSES: usize = 8;
+pub const MAX_ZONES: usize = 8;
+/// See `MAX_ZONES`.
+pub const MAX_CLASSES: usize = 8;
 
 /// The section `[failover]` of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct FailoverSettings {
     /// The region of each zone.
     pub regions: BTreeMap<String, String>,
     /// How far it is from one zone to another where that was stated; else 1 within a region and 10 beyond.
     pub distances: BTreeMap<(String, String), u32>,
     /// Connections that a server of size 1 carries when it is warm.
-    pub connections: f64,
+    pub connections_per_server: f64,
     /// Part of a zone's room that is used.
-    pub fill: f64,
+    pub usable_share: f64,
     /// How often a balancer tells what it sees.
-    pub tell: Micros,
+    pub digest_interval: Micros,
     /// A zone must fail for so long before it is left.
-    pub confirm: Micros,
+    pub failure_confirmation: Micros,
     /// It must do well for so long before it is gone back to; twice as long for each time that it failed again.
-    pub stay: Micros,
+    pub recovery_confirmation: Micros,
     /// Between two steps of a return.
-    pub step: Micros,
+    pub return_step_interval: Micros,
     /// Balancers change to another plan within this time, each at a moment of its own.
-    pub over: Micros,
+    pub changeover_window: Micros,
     /// A plan that nobody renews is followed for so long.
-    pub valid: Micros,
+    pub plan_lifetime: Micros,
     /// Standing connections of the whole fleet that are moved for the plan in a second.
-    pub moves: f64,
+    pub fleet_moves_per_second: f64,
     /// A mean set-up time past this counts as a failure.
-    pub slow: Micros,
+    pub slow_setup: Micros,
 }
 
-impl Terms {
+impl FailoverSettings {
     /// From one zone to another.
     pub fn distance(&self, from: &str, to: &str) -> u32 {
         if from == to {
@@ -67,21 +67,21 @@
     }
 }
 
-impl Default for Terms {
+impl Default for FailoverSettings {
     fn default() -> Self {
-        Terms {
+        FailoverSettings {
             regions: BTreeMap::new(),
             distances: BTreeMap::new(),
-            connections: 100.0,
-            fill: 0.9,
-            tell: 1_000_000,
-            confirm: 2_000_000,
-            stay: 6_000_000,
-            step: 2_000_000,
-            over: 1_000_000,
-            valid: 10_000_000,
-            moves: 50.0,
-            slow: 1_000_000,
+            connections_per_server: 100.0,
+            usable_share: 0.9,
+            digest_interval: 1_000_000,
+            failure_confirmation: 2_000_000,
+            recovery_confirmation: 6_000_000,
+            return_step_interval: 2_000_000,
+            changeover_window: 1_000_000,
+            plan_lifetime: 10_000_000,
+            fleet_moves_per_second: 50.0,
+            slow_setup: 1_000_000,
         }
     }
 }
--- a/src/failover/path.rs
+++ b/src/failover/path.rs
@@ -1,7 +1,7 @@
 //! Whether a zone's clients may go to a zone: closed after lasting failure, opened step by step after lasting health.
 
 use super::evidence::Verdict;
-use super::Terms;
+use super::FailoverSettings;
 use crate::api::Micros;
 
 /// The first step of a return; each further one is twice as much.
@@ -26,7 +26,7 @@
 
 impl Path {
     /// Takes in what is said of it now; the part of it that is open.
-    pub fn turn(&mut self, now: Micros, verdict: Verdict, terms: &Terms) -> f64 {
+    pub fn turn(&mut self, now: Micros, verdict: Verdict, settings: &FailoverSettings) -> f64 {
         let since = |mark: &mut Option<Micros>, on: bool| match (on, *mark) {
             (false, _) => *mark = None,
             (true, None) => *mark = Some(now),
@@ -36,9 +36,9 @@
         // Where nothing goes nobody has seen a failure: a probe that is answered makes it good.
         since(&mut self.good_since, verdict == Verdict::Good);
         let long = |mark: Option<Micros>, span: Micros| mark.is_some_and(|at| now >= at + span);
-        let stay = terms.stay << self.times.saturating_sub(1).min(4);
+        let stay = settings.recovery_confirmation << self.times.saturating_sub(1).min(4);
         match self.closed {
-            None if long(self.bad_since, terms.confirm) => {
+            None if long(self.bad_since, settings.failure_confirmation) => {
                 let again = self.times > 0 && now < self.last + AGAIN * stay;
                 (self.times, self.last) = (if again { self.times + 1 } else { 1 }, now);
                 (self.closed, self.opens) = (Some(now), None);
@@ -52,7 +52,7 @@
             (Some(_), _) => 0.0,
             (None, None) => 1.0,
             (None, Some(at)) => {
-                let level = FIRST * 2f64.powi(((now - at) / terms.step) as i32);
+                let level = FIRST * 2f64.powi(((now - at) / settings.return_step_interval) as i32);
                 if level >= 1.0 {
                     self.opens = None;
                 }
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -10,7 +10,7 @@
 use super::capacity::{self, Grants, Holder, Report};
 use super::evidence::{held, room, verdict, wants, Digest, Digests, Verdict};
 use super::path::Path;
-use super::Terms;
+use super::FailoverSettings;
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -129,7 +129,7 @@
 
 /// The holder's side.
 pub struct Planner {
-    terms: Terms,
+    settings: FailoverSettings,
     zones: Vec<String>,
     /// The worthiest first.
     classes: Vec<String>,
@@ -147,13 +147,13 @@
 
 impl Planner {
     /// One for these zones, in any order, and classes, the worthiest first.
-    pub fn new(terms: Terms, mut zones: Vec<String>, classes: Vec<String>) -> Planner {
+    pub fn new(settings: FailoverSettings, mut zones: Vec<String>, classes: Vec<String>) -> Planner {
         zones.sort();
-        zones.truncate(super::ZONES);
+        zones.truncate(super::MAX_ZONES);
         let (heard, paths, orders) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (spills, silent) = (vec![false; zones.len()], BTreeMap::new());
-        let classes = classes.into_iter().take(super::CLASSES).collect();
-        Planner { terms, zones, classes, heard, paths, orders, spills, silent, begun: None, put: 0 }
+        let classes = classes.into_iter().take(super::MAX_CLASSES).collect();
+        Planner { settings, zones, classes, heard, paths, orders, spills, silent, begun: None, put: 0 }
     }
 
     /// A digest came, late, doubled or in order.
@@ -177,8 +177,8 @@
         record: Option<&Plan>,
         orders: &BTreeMap<String, Order>,
     ) -> (Option<Plan>, Vec<String>) {
-        let terms = self.terms.clone();
-        self.heard.retain(|_, (at, _)| *at + 4 * terms.tell.max(250_000) >= now);
+        let settings = self.settings.clone();
+        self.heard.retain(|_, (at, _)| *at + 4 * settings.digest_interval.max(250_000) >= now);
         let begun = *self.begun.get_or_insert(now);
         // Paths are as the plan in force has them until something else is seen.
         if begun == now {
@@ -192,7 +192,8 @@
         // Everybody who is heard follows the last plan, and whoever is not heard follows none: two at once are enough.
         let serial = record.map_or(0, |plan| plan.serial);
         let all = digests.values().all(|d| d.follows.is_none_or(|follows| follows == serial) || serial == 0);
-        let settled = all && now >= self.put + terms.over || now >= self.put + terms.valid + terms.over;
+        let settled = all && now >= self.put + settings.changeover_window
+            || now >= self.put + settings.plan_lifetime + settings.changeover_window;
         let next = Some(()).filter(|()| settled && self.listened(now, &digests));
         let next = next.map(|()| self.plan(&input, &whys, record));
         let changed = next.filter(|next| record.is_none_or(|old| differs(old, next)));
@@ -207,8 +208,8 @@
 
     /// The same plan once more, with grants by what is known now, where it is time for that.
     fn renewal(&self, now: Micros, plan: &Plan, input: &AllocationInput, digests: &Digests) -> Option<Plan> {
-        let due = now >= self.put + self.terms.valid / 3;
-        let may = now >= self.put + self.terms.tell.max(REGRANT);
+        let due = now >= self.put + self.settings.plan_lifetime / 3;
+        let may = now >= self.put + self.settings.digest_interval.max(REGRANT);
         if !due && !may {
             return None;
         }
@@ -223,7 +224,8 @@
 
     /// Whether it has made plans for long enough to have heard everybody who can be heard.
     fn listened(&self, now: Micros, digests: &Digests) -> bool {
-        self.begun.is_some_and(|begun| now >= begun + 2 * self.terms.tell) && !digests.is_empty()
+        self.begun.is_some_and(|begun| now >= begun + 2 * self.settings.digest_interval)
+            && !digests.is_empty()
     }
 
     /// Whether other grants would give more to a balancer whose clients are expected to want more than it is granted, or free what
@@ -300,7 +302,7 @@
         for name in silent {
             self.silent.entry(name).or_insert(now);
         }
-        let kept = RESERVED_LIFETIMES * self.terms.valid;
+        let kept = RESERVED_LIFETIMES * self.settings.plan_lifetime;
         self.silent.retain(|_, since| now < *since + kept);
     }
 
@@ -343,17 +345,17 @@
         orders: &BTreeMap<String, Order>,
         record: Option<&Plan>,
     ) -> (AllocationInput, Vec<(bool, String)>) {
-        let (n, terms) = (self.zones.len(), self.terms.clone());
+        let (n, settings) = (self.zones.len(), self.settings.clone());
         let mut open = vec![vec![1.0; n]; n];
         let mut whys = vec![(false, String::new()); n];
         for (f, t) in (0..n).flat_map(|f| (0..n).map(move |t| (f, t))) {
-            let said = match verdict(digests, &self.zones[f], &self.zones[t], &terms) {
+            let said = match verdict(digests, &self.zones[f], &self.zones[t], &settings) {
                 // Of a way that nobody goes, those say most who are there.
-                Verdict::Unknown if f != t => verdict(digests, &self.zones[t], &self.zones[t], &terms),
+                Verdict::Unknown if f != t => verdict(digests, &self.zones[t], &self.zones[t], &settings),
                 said => said,
             };
             let way = self.paths.entry((f, t)).or_default();
-            let level = way.turn(now, said, &terms);
+            let level = way.turn(now, said, &settings);
             open[f][t] = level;
             if f == t && level < 1.0 {
                 whys[f].1 = match level == 0.0 {
@@ -393,7 +395,8 @@
         }
         let ask = |zone: &String| self.classes.iter().map(|class| wants(digests, zone, class)).collect();
         let all: Vec<Vec<f64>> = self.zones.iter().map(ask).collect();
-        let rooms: Vec<f64> = self.zones.iter().map(|zone| terms.fill * room(digests, zone)).collect();
+        let rooms: Vec<f64> =
+            self.zones.iter().map(|zone| settings.usable_share * room(digests, zone)).collect();
         let reserved = |zone: usize| {
             let grants = self.silent.keys().filter_map(|name| record?.grants.get(name));
             grants.filter_map(|grant| grant.reserved.get(zone)).map(|n| f64::from(*n)).sum::<f64>()
@@ -423,7 +426,7 @@
     }
 
     fn plan(&mut self, q: &AllocationInput, whys: &[(bool, String)], record: Option<&Plan>) -> Plan {
-        let (n, terms) = (q.zones.len(), &self.terms);
+        let (n, settings) = (q.zones.len(), &self.settings);
         let mut input = q.clone();
         let want = |f: usize| q.demand[f].iter().sum::<f64>();
         // One that spills goes on until it has room to spare, so that it does not change with every client.
@@ -434,7 +437,7 @@
                 input.open[z][z] = (SPILL * q.capacity[z] / want(z)).min(1.0);
             }
         }
-        let distance = |f: usize, t: usize| terms.distance(&q.zones[f], &q.zones[t]);
+        let distance = |f: usize, t: usize| settings.distance(&q.zones[f], &q.zones[t]);
         let amounts = staged_allocation(&input, distance);
         let given = |t: usize| amounts.iter().flatten().map(|to| to[t]).sum::<f64>();
         let serial = record.map_or(0, |plan| plan.serial) + 1;
--- a/src/failover/plan_tests.rs
+++ b/src/failover/plan_tests.rs
@@ -184,10 +184,15 @@
 impl Fleet {
     fn new() -> Fleet {
         let regions = [("a", "n"), ("b", "n"), ("c", "s")].map(|(z, r)| (z.to_string(), r.to_string()));
-        let (stay, step) = (15 * S, 5 * S);
-        let terms = Terms { regions: regions.into(), stay, step, ..Terms::default() };
+        let (recovery_confirmation, return_step_interval) = (15 * S, 5 * S);
+        let settings = FailoverSettings {
+            regions: regions.into(),
+            recovery_confirmation,
+            return_step_interval,
+            ..FailoverSettings::default()
+        };
         let zones = ["c", "a", "b"].map(String::from).to_vec();
-        let planner = Planner::new(terms, zones, vec!["payout".into(), "watch".into()]);
+        let planner = Planner::new(settings, zones, vec!["payout".into(), "watch".into()]);
         Fleet { planner, now: 0, plan: None, orders: BTreeMap::new(), number: 0, states: Vec::new() }
     }
 
--- a/src/group/record.rs
+++ b/src/group/record.rs
@@ -6,7 +6,7 @@
 //! that cannot read what was decided votes no more.
 
 use crate::failover::plan::{Order, Plan, Wish};
-use crate::failover::ZONES;
+use crate::failover::MAX_ZONES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -201,14 +201,14 @@
                 let (serial, renewed) = self.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewed));
                 let next = (plan.serial, plan.renewed) == (serial + 1, 0);
                 let again = self.plan.is_some() && (plan.serial, plan.renewed) == (serial, renewed + 1);
-                if !next && !again || plan.zones.len() > ZONES || self.held(task, *token).is_none() {
+                if !next && !again || plan.zones.len() > MAX_ZONES || self.held(task, *token).is_none() {
                     return Outcome::Stale;
                 }
                 self.plan = Some(plan.clone());
                 Outcome::Done
             }
             Command::Order { zone, wish, lasts_ms } => {
-                let full = self.orders.len() >= ZONES && !self.orders.contains_key(zone);
+                let full = self.orders.len() >= MAX_ZONES && !self.orders.contains_key(zone);
                 match wish {
                     _ if zone.is_empty() || zone.len() > LONGEST => return Outcome::Stale,
                     Some(_) if full => return Outcome::Stale,
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -14,7 +14,7 @@
 use crate::broker::operations::Operations;
 use crate::broker::Broker;
 use crate::failover::plan::{Planner, Wish};
-use crate::failover::Terms;
+use crate::failover::FailoverSettings;
 use crate::logging;
 use crate::peers::seal::{Seal, ADDED, LONGEST};
 use crate::peers::{self, Peers};
@@ -205,8 +205,8 @@
     }
 
     /// Zones by a plan, made of these zones and classes, the worthiest first.
-    pub fn plans(&mut self, terms: &Terms, zones: &[String], classes: Vec<String>) {
-        self.tells = Some(terms.tell);
+    pub fn plans(&mut self, terms: &FailoverSettings, zones: &[String], classes: Vec<String>) {
+        self.tells = Some(terms.digest_interval);
         self.member.plans(Planner::new(terms.clone(), zones.to_vec(), classes));
     }
 
--- a/src/operator/failover.rs
+++ b/src/operator/failover.rs
@@ -1,7 +1,7 @@
 //! The section `[failover]`: regions of zones, what a zone carries, and how fast traffic leaves it and comes back.
 
 use super::spans::Span;
-use crate::failover::Terms;
+use crate::failover::FailoverSettings;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -37,11 +37,11 @@
 
 impl Table {
     /// Checked; what is wrong, where, and the mend.
-    pub fn terms(self) -> Result<Terms, (Range<usize>, String)> {
-        let usual = Terms::default();
+    pub fn terms(self) -> Result<FailoverSettings, (Range<usize>, String)> {
+        let usual = FailoverSettings::default();
         let regions = self.regions.get_ref();
-        if !(2..=crate::failover::ZONES).contains(&regions.len()) {
-            let most = crate::failover::ZONES;
+        if !(2..=crate::failover::MAX_ZONES).contains(&regions.len()) {
+            let most = crate::failover::MAX_ZONES;
             return Err((self.regions.span(), format!("name two to {most} zones, each with its region")));
         }
         for d in &self.distance {
@@ -70,18 +70,18 @@
         };
         let connections = figure(&Some(self.connections), 0.0, 0.01, 1e6, "connections")?;
         let distances = self.distance.iter().map(|d| d.get_ref());
-        let terms = Terms {
-            connections,
+        let terms = FailoverSettings {
+            connections_per_server: connections,
             distances: distances.map(|d| ((d.from.clone(), d.to.clone()), d.is)).collect(),
-            fill: figure(&self.fill, usual.fill, 0.1, 1.0, "fill")?,
-            tell: span(&self.tell, usual.tell, 100_000, "tell")?,
-            confirm: span(&self.confirm, usual.confirm, 0, "confirm")?,
-            stay: span(&self.stay, usual.stay, 500_000, "stay")?,
-            step: span(&self.step, usual.step, 100_000, "step")?,
-            over: span(&self.over, usual.over, 0, "over")?,
-            valid: span(&self.valid, usual.valid, 1_000_000, "valid")?,
-            slow: span(&self.slow, usual.slow, 1_000, "slow")?,
-            moves: figure(&self.moves, usual.moves, 0.0, 1e6, "moves")?,
+            usable_share: figure(&self.fill, usual.usable_share, 0.1, 1.0, "fill")?,
+            digest_interval: span(&self.tell, usual.digest_interval, 100_000, "tell")?,
+            failure_confirmation: span(&self.confirm, usual.failure_confirmation, 0, "confirm")?,
+            recovery_confirmation: span(&self.stay, usual.recovery_confirmation, 500_000, "stay")?,
+            return_step_interval: span(&self.step, usual.return_step_interval, 100_000, "step")?,
+            changeover_window: span(&self.over, usual.changeover_window, 0, "over")?,
+            plan_lifetime: span(&self.valid, usual.plan_lifetime, 1_000_000, "valid")?,
+            slow_setup: span(&self.slow, usual.slow_setup, 1_000, "slow")?,
+            fleet_moves_per_second: figure(&self.moves, usual.fleet_moves_per_second, 0.0, 1e6, "moves")?,
             regions: self.regions.into_inner(),
         };
         Ok(terms)
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -40,7 +40,7 @@
     /// The balancers that decide together, where there are any.
     pub group: Option<crate::group::Settings>,
     /// Zones by the fleet's plan, where that is wanted.
-    pub failover: Option<crate::failover::Terms>,
+    pub failover: Option<crate::failover::FailoverSettings>,
     /// What is legal and yet worth a look.
     pub warnings: Vec<Message>,
 }
