--- a/src/broker/zones.rs
+++ b/src/broker/zones.rs
@@ -3,7 +3,7 @@
 
 use super::occupancy::{Occupancies, Occupancy, Slot};
 use crate::api::*;
-use crate::failover::evidence::{Digest, Event as Note, Meter, Seen};
+use crate::failover::evidence::{Digest, Observation, ObservationWindow, ZoneObservations};
 use crate::failover::follow::{Choice, Follower};
 use crate::failover::plan::Plan;
 use crate::failover::FailoverSettings;
@@ -44,7 +44,7 @@
 pub struct Zones {
     place: Place,
     follower: Follower,
-    meter: Meter,
+    observations: ObservationWindow,
     instances: BTreeMap<HostId, Entry>,
     number: u64,
     phase: u64,
@@ -89,13 +89,13 @@
     /// Those of a balancer that follows plans by these settings.
     pub fn new(settings: FailoverSettings, place: Place) -> Zones {
         let follower = Follower::new(settings, &place.name, place.started, &place.zone);
-        let (meter, instances) = (Meter::default(), BTreeMap::new());
+        let (observations, instances) = (ObservationWindow::default(), BTreeMap::new());
         let phase = xxh64(place.name.as_bytes(), 1) % 4_096;
         let occupancies = Occupancies::default();
         Zones {
             place,
             follower,
-            meter,
+            observations,
             instances,
             number: 0,
             phase,
@@ -196,7 +196,7 @@
     fn refuse(&mut self, now: Micros, known: &Known) -> Option<Micros> {
         let plan = self.follower.follows();
         tracing::debug!(target: ADMISSIONS, plan, call = &*known.call.0, "refused: no zone has capacity for it");
-        self.meter.served(now, known.class, known.client(), false);
+        self.observations.record_client(now, known.class, known.client(), false);
         let after = AFTER + xxh64(known.call.0.as_bytes(), now) % AFTER;
         self.place.longest.map(|longest| after.min(longest))
     }
@@ -228,35 +228,35 @@
 
     /// An execution came up at an instance.
     pub fn up(&mut self, now: Micros, known: &Known, host: HostId, took: Micros) {
-        self.meter.served(now, known.class, known.client(), true);
+        self.observations.record_client(now, known.class, known.client(), true);
         if let Some(zone) = self.zone_of(host) {
-            self.meter.note(now, zone, Note::Up(took));
+            self.observations.record(now, zone, Observation::Up(took));
         }
     }
 
     /// An execution, or a connection that stood, has ended so.
     pub fn ended(&mut self, now: Micros, host: HostId, stood: bool, outcome: Outcome) {
         let note = match (stood, outcome) {
-            (true, Outcome::Reset | Outcome::Timeout) => Note::Broken,
-            (false, Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset) => Note::Failed,
-            (false, Outcome::Full) => Note::Full,
+            (true, Outcome::Reset | Outcome::Timeout) => Observation::Broken,
+            (false, Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset) => Observation::Failed,
+            (false, Outcome::Full) => Observation::Full,
             _ => return,
         };
         if let Some(zone) = self.zone_of(host) {
-            self.meter.note(now, zone, note);
+            self.observations.record(now, zone, note);
         }
     }
 
     /// A probe went so.
     pub fn probed(&mut self, now: Micros, host: HostId, answered: bool) {
         if let Some(zone) = self.zone_of(host) {
-            self.meter.note(now, zone, Note::Probed(answered));
+            self.observations.record(now, zone, Observation::Probed(answered));
         }
     }
 
     /// A command was given its final answer, and that was no connection.
     pub fn unserved(&mut self, now: Micros, known: &Known) {
-        self.meter.served(now, known.class, known.client(), false);
+        self.observations.record_client(now, known.class, known.client(), false);
     }
 
     /// An instance of each zone in turn, to be probed: so that a balancer that is cut off knows it, and a zone that nobody is
@@ -264,7 +264,7 @@
     /// anything is wrong; the more balancers there are the less often each.
     pub fn probes(&mut self, now: Micros) -> Vec<HostId> {
         let zones = 0..self.place.zones.len();
-        let wrong = zones.clone().any(|zone| self.meter.seen(now, zone).wrong());
+        let wrong = zones.clone().any(|zone| self.observations.zone_summary(now, zone).has_failures());
         let turn = self.number + self.phase;
         let each = u64::from(self.place.balancers.div_ceil(PROBERS)).max(1);
         let rarely = turn.is_multiple_of(each * RARELY);
@@ -294,25 +294,37 @@
         let carries = self.follower.settings().connections_per_server;
         let zones: Vec<String> = self.place.zones.iter().take(crate::failover::MAX_ZONES).cloned().collect();
         let seen = zones.into_iter().enumerate().map(|(zone, name)| {
-            let room = self.ready(zone).map(|e| e.weight * warmth(e) * carries).sum::<f64>() as u32;
-            let Occupancy { established: stands, in_flight } = self.occupancies.of(zone);
-            (name, Seen { stands, in_flight, room, ..self.meter.seen(now, zone) })
+            let capacity = self.ready(zone).map(|e| e.weight * warmth(e) * carries).sum::<f64>() as u32;
+            let Occupancy { established, in_flight } = self.occupancies.of(zone);
+            (
+                name,
+                ZoneObservations {
+                    established,
+                    in_flight,
+                    capacity,
+                    ..self.observations.zone_summary(now, zone)
+                },
+            )
         });
         let zones = seen.collect();
         let classes: Vec<String> =
             self.place.classes.iter().take(crate::failover::MAX_CLASSES).cloned().collect();
         let wanted = classes.into_iter().enumerate().map(|(class, name)| {
-            (name, wants.get(&class).copied().unwrap_or_default() + self.meter.unserved(now, class))
+            (
+                name,
+                wants.get(&class).copied().unwrap_or_default()
+                    + self.observations.unserved_clients(now, class),
+            )
         });
         Digest {
             name: self.place.name.clone(),
             started: self.place.started,
-            number: self.number,
+            sequence: self.number,
             zone: self.place.zone.clone(),
             follows: self.follower.follows(),
             renewal: self.follower.renewal(),
             zones,
-            wants: wanted.collect(),
+            demand: wanted.collect(),
         }
     }
 
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -8,7 +8,7 @@
 
 use super::allocation::{staged_allocation, AllocationInput};
 use super::capacity::{self, Grants, Holder, Report};
-use super::evidence::{held, room, verdict, wants, Digest, Digests, Verdict};
+use super::evidence::{path_verdict, zone_capacity, zone_demand, zone_occupancy, Digest, Digests, Verdict};
 use super::path::Path;
 use super::FailoverSettings;
 use crate::api::Micros;
@@ -158,9 +158,9 @@
 
     /// A digest came, late, doubled or in order.
     pub fn take(&mut self, now: Micros, digest: Digest) {
-        let age = |d: &Digest| (d.started, d.number);
+        let age = |d: &Digest| (d.started, d.sequence);
         let newer = self.heard.get(&digest.name).is_none_or(|(_, known)| age(&digest) > age(known));
-        if newer && digest.fits() && self.heard.len() < 4_096 {
+        if newer && digest.is_within_bounds() && self.heard.len() < 4_096 {
             self.heard.insert(digest.name.clone(), (now, digest));
         }
     }
@@ -249,7 +249,7 @@
     /// By zone: what a balancer's clients want there by a plan's shares.
     fn demand(&self, plan: &Plan, digest: &Digest) -> Vec<f64> {
         let of_class = |to: &String, class: &String| {
-            f64::from(digest.wants.get(class).copied().unwrap_or_default())
+            f64::from(digest.demand.get(class).copied().unwrap_or_default())
                 * plan.share(&digest.zone, class, to)
         };
         self.zones.iter().map(|to| self.classes.iter().map(|class| of_class(to, class)).sum()).collect()
@@ -349,9 +349,11 @@
         let mut open = vec![vec![1.0; n]; n];
         let mut whys = vec![(false, String::new()); n];
         for (f, t) in (0..n).flat_map(|f| (0..n).map(move |t| (f, t))) {
-            let said = match verdict(digests, &self.zones[f], &self.zones[t], &settings) {
+            let said = match path_verdict(digests, &self.zones[f], &self.zones[t], &settings) {
                 // Of a way that nobody goes, those say most who are there.
-                Verdict::Unknown if f != t => verdict(digests, &self.zones[t], &self.zones[t], &settings),
+                Verdict::Unknown if f != t => {
+                    path_verdict(digests, &self.zones[t], &self.zones[t], &settings)
+                }
                 said => said,
             };
             let way = self.paths.entry((f, t)).or_default();
@@ -393,16 +395,21 @@
             let what = if matches!(order.wish, Wish::Hold) { "held" } else { "evacuated" };
             whys[z] = (true, format!("{what} by an operator"));
         }
-        let ask = |zone: &String| self.classes.iter().map(|class| wants(digests, zone, class)).collect();
+        let ask =
+            |zone: &String| self.classes.iter().map(|class| zone_demand(digests, zone, class)).collect();
         let all: Vec<Vec<f64>> = self.zones.iter().map(ask).collect();
         let rooms: Vec<f64> =
-            self.zones.iter().map(|zone| settings.usable_share * room(digests, zone)).collect();
+            self.zones.iter().map(|zone| settings.usable_share * zone_capacity(digests, zone)).collect();
         let reserved = |zone: usize| {
             let grants = self.silent.keys().filter_map(|name| record?.grants.get(name));
             grants.filter_map(|grant| grant.reserved.get(zone)).map(|n| f64::from(*n)).sum::<f64>()
         };
-        let stands: Vec<f64> =
-            self.zones.iter().enumerate().map(|(z, zone)| held(digests, zone) + reserved(z)).collect();
+        let stands: Vec<f64> = self
+            .zones
+            .iter()
+            .enumerate()
+            .map(|(z, zone)| zone_occupancy(digests, zone) + reserved(z))
+            .collect();
         let before = record.map_or(Vec::new(), |plan| {
             let amount = |f: usize, c: usize, t: usize| {
                 all[f][c] * plan.share(&self.zones[f], &self.classes[c], &self.zones[t])
--- a/src/failover/plan_tests.rs
+++ b/src/failover/plan_tests.rs
@@ -1,7 +1,7 @@
 //! Laws of the plan over random zones, and every mixture of two plans in a small case.
 
 use super::super::allocation::Allocation;
-use super::super::evidence::Seen;
+use super::super::evidence::ZoneObservations;
 use super::*;
 use proptest::prelude::*;
 
@@ -204,8 +204,19 @@
                 for n in 0..6 {
                     let zone = ["a", "b", "c"][n % 3];
                     let seen = |to: &str| match serves(zone, to, self.now) {
-                        true => Seen { up: 9, probed: (3, 0), setup: 20, room: 100, ..Seen::default() },
-                        false => Seen { failed: 9, probed: (0, 3), room: 100, ..Seen::default() },
+                        true => ZoneObservations {
+                            up: 9,
+                            probed: (3, 0),
+                            mean_setup_ms: 20,
+                            capacity: 100,
+                            ..ZoneObservations::default()
+                        },
+                        false => ZoneObservations {
+                            failed: 9,
+                            probed: (0, 3),
+                            capacity: 100,
+                            ..ZoneObservations::default()
+                        },
                     };
                     let zones = ["a", "b", "c"].map(|to| (to.to_string(), seen(to))).into();
                     let wants = [("payout".to_string(), want / 4), ("watch".to_string(), want)].into();
@@ -215,16 +226,16 @@
                     let digest = Digest {
                         name: format!("n{n}"),
                         started: 1,
-                        number: self.number,
+                        sequence: self.number,
                         zone: zone.into(),
                         follows,
                         renewal,
                         zones,
-                        wants,
+                        demand: wants,
                     };
                     self.planner.take(self.now, digest.clone());
                     // Doubled, and an old one after it.
-                    self.planner.take(self.now, Digest { number: self.number - 1, ..digest });
+                    self.planner.take(self.now, Digest { sequence: self.number - 1, ..digest });
                 }
             }
             let (plan, over) = self.planner.turn(self.now, self.plan.as_ref(), &self.orders);
