--- a/src/broker/lease_tests.rs
+++ b/src/broker/lease_tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::failover;
 use crate::failover::capacity::Grant;
-use crate::failover::plan::Zone;
+use crate::failover::plan::ZonePlan;
 
 const S: Micros = 1_000_000;
 /// Hosts by zone.
@@ -47,9 +47,14 @@
     core.tell(S, Event::Members { kind: ListKind::Cached, hosts }, &mut Vec::new());
     let shares = vec![("a".to_string(), 1_000 - share_of_b), ("b".to_string(), share_of_b)];
     let then = second.then(|| "b".to_string());
-    let zone = Zone { shares: [("watch".to_string(), shares)].into(), then, part: 1_000, ..Zone::default() };
+    let zone = ZonePlan {
+        shares: [("watch".to_string(), shares)].into(),
+        fallback: then,
+        fallback_share: 1_000,
+        ..ZonePlan::default()
+    };
     let grant = Grant { started: 1, limits: limits.to_vec(), reserved: limits.to_vec() };
-    let zones = [("a".to_string(), zone), ("b".to_string(), Zone::default())].into();
+    let zones = [("a".to_string(), zone), ("b".to_string(), ZonePlan::default())].into();
     let plan = Plan { serial: 1, zones, grants: [("n1".to_string(), grant)].into(), ..Plan::default() };
     core.follow(S, Some(&plan));
     core.follow(S + 1, Some(&plan));
--- a/src/cli/zones.rs
+++ b/src/cli/zones.rs
@@ -98,8 +98,8 @@
                     "{at:8.1} s plan {} zone {name} {} room={} why={:?}",
                     next.serial,
                     zone.state.name(),
-                    zone.room,
-                    zone.why
+                    zone.capacity,
+                    zone.reason
                 );
             }
         }
--- a/src/failover/follow.rs
+++ b/src/failover/follow.rs
@@ -5,7 +5,7 @@
 //! ([`super::capacity`]), but for what stood before the lease became smaller. A plan that nobody renews ends by itself: then this
 //! balancer judges alone within its own zone, and sends nothing to another zone beyond what stands there.
 
-use super::plan::{Plan, State};
+use super::plan::{Plan, ZoneState};
 use super::FailoverSettings;
 use crate::api::Micros;
 use std::collections::BTreeMap;
@@ -91,7 +91,7 @@
     /// The record has this plan.
     pub fn take(&mut self, now: Micros, plan: &Plan) {
         let until = now + self.settings.plan_lifetime;
-        let age = |plan: &Plan| (plan.serial, plan.renewed);
+        let age = |plan: &Plan| (plan.serial, plan.renewals);
         let next = self.next.as_ref().map(|next| &next.0);
         let followed = self.plan.as_ref().map(|plan| &plan.0);
         // The record keeps a plan that nobody renews: one that has ended is known as well.
@@ -132,7 +132,7 @@
 
     /// Which renewal of the plan it follows: its grants are those in force here.
     pub fn renewal(&self) -> Option<u64> {
-        self.plan.as_ref().map(|plan| plan.0.renewed)
+        self.plan.as_ref().map(|plan| plan.0.renewals)
     }
 
     /// How many connections this balancer may hold in a zone. Where no plan is valid any more nothing beyond what stood when the
@@ -184,7 +184,7 @@
             sum += share;
             // Shares are rounded down.
             if place < sum || sum >= ROUNDED {
-                let then = zone.then.as_ref().filter(|then| *then != to && place < zone.part);
+                let then = zone.fallback.as_ref().filter(|then| *then != to && place < zone.fallback_share);
                 return Choice::To(to.clone(), then.cloned());
             }
         }
@@ -194,7 +194,7 @@
     /// Whether the plan has a zone's traffic near, or there is none.
     pub fn near(&self, zone: &str) -> bool {
         let state = self.plan.as_ref().and_then(|plan| plan.0.zones.get(zone)).map(|zone| zone.state);
-        state.is_none_or(|state| state == State::Near)
+        state.is_none_or(|state| state == ZoneState::Near)
     }
 
     /// How many connections may be asked to move now, of so many balancers; it counts them as moved.
--- a/src/failover/follow_tests.rs
+++ b/src/failover/follow_tests.rs
@@ -1,13 +1,13 @@
 //! Shares by client, the end of a plan, the pace of moves, and what a balancer may hold.
 
 use super::super::capacity::Grant;
-use super::super::plan::Zone;
+use super::super::plan::ZonePlan;
 use super::*;
 
 fn plan(serial: u64, shares: &[(&str, f64)]) -> Plan {
     let shares = shares.iter().map(|(zone, share)| (zone.to_string(), (*share * 1e3) as u32)).collect();
-    let zone = Zone { shares: [("c".to_string(), shares)].into(), ..Zone::default() };
-    let zones = [("a".to_string(), zone), ("b".to_string(), Zone::default())].into();
+    let zone = ZonePlan { shares: [("c".to_string(), shares)].into(), ..ZonePlan::default() };
+    let zones = [("a".to_string(), zone), ("b".to_string(), ZonePlan::default())].into();
     Plan { serial, zones, ..Plan::default() }
 }
 
@@ -45,7 +45,7 @@
     f.take(9_000_000, &plan(2, &[("a", 0.6), ("b", 0.3)]));
     f.turn(11_999_999, |_| 0);
     assert_eq!(f.follows(), Some(2));
-    f.take(11_999_999, &Plan { renewed: 1, ..plan(2, &[("a", 0.6), ("b", 0.3)]) });
+    f.take(11_999_999, &Plan { renewals: 1, ..plan(2, &[("a", 0.6), ("b", 0.3)]) });
     f.turn(21_999_000, |_| 0);
     assert_eq!(f.follows(), Some(2));
     f.turn(22_000_000, |_| 0);
@@ -79,7 +79,7 @@
     let mut f = Follower::new(FailoverSettings::default(), "n1", 1, "a");
     let mut plan = plan(1, &[("a", 1.0)]);
     let zone = plan.zones.get_mut("a").unwrap();
-    (zone.then, zone.part) = (Some("b".into()), 300);
+    (zone.fallback, zone.fallback_share) = (Some("b".into()), 300);
     f.take(0, &plan);
     f.turn(1_000_000, |_| 0);
     let second =
@@ -120,7 +120,7 @@
     f.turn(1, |_| 0);
     assert_eq!((f.limit("a"), f.limit("b"), f.renewal()), (Limit::AtMost(4), Limit::AtMost(7), Some(0)));
     // A renewal may grant something else, and is in force at once.
-    f.take(2, &Plan { renewed: 1, ..granted(1, &[4, 6]) });
+    f.take(2, &Plan { renewals: 1, ..granted(1, &[4, 6]) });
     assert_eq!((f.limit("b"), f.renewal()), (Limit::AtMost(6), Some(1)));
     f.turn(10_000_002, |zone| if zone == "b" { 3 } else { 9 });
     assert_eq!((f.follows(), f.renewal()), (None, None));
@@ -181,6 +181,6 @@
     for now in (10_000_001..40_000_000).step_by(50_000) {
         assert_eq!(turn(now, &plan), None, "at {now}");
     }
-    let renewed = Plan { renewed: 1, ..plan };
+    let renewed = Plan { renewals: 1, ..plan };
     assert_eq!(turn(40_000_000, &renewed), Some(1));
 }
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -18,7 +18,7 @@
 /// How a zone's own traffic goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum ZoneState {
     /// It stays there.
     #[default]
     Near,
@@ -30,14 +30,14 @@
     Returning,
 }
 
-impl State {
+impl ZoneState {
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
-            State::Near => "near",
-            State::Spill => "spill",
-            State::Away => "away",
-            State::Returning => "returning",
+            ZoneState::Near => "near",
+            ZoneState::Spill => "spill",
+            ZoneState::Away => "away",
+            ZoneState::Returning => "returning",
         }
     }
 }
@@ -45,21 +45,25 @@
 /// What the plan says of one zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Zone {
+pub struct ZonePlan {
     /// How its own traffic goes.
-    pub state: State,
+    pub state: ZoneState,
     /// Why.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The plan that brought it into this state.
     pub since: u64,
     /// What it carries.
-    pub room: u32,
+    #[serde(rename = "room")]
+    pub capacity: u32,
     /// By class: how many thousandths go to which zone, in a fixed order. What is missing to all of them is refused.
     pub shares: BTreeMap<String, Vec<(String, u32)>>,
     /// Where whoever failed there once may be tried, and how many thousandths of all may: whichever one zone fails, they find room.
-    pub then: Option<String>,
+    #[serde(rename = "then")]
+    pub fallback: Option<String>,
     /// See `then`.
-    pub part: u32,
+    #[serde(rename = "part")]
+    pub fallback_share: u32,
 }
 
 /// A plan.
@@ -69,9 +73,10 @@
     /// Which one: each has the next number.
     pub serial: u64,
     /// How often it was renewed.
-    pub renewed: u64,
+    #[serde(rename = "renewed")]
+    pub renewals: u64,
     /// By zone.
-    pub zones: BTreeMap<String, Zone>,
+    pub zones: BTreeMap<String, ZonePlan>,
     /// How many connections each balancer may hold in each zone; none: an older program made the plan.
     #[serde(skip_serializing_if = "Grants::is_empty")]
     pub grants: Grants,
@@ -103,14 +108,15 @@
     /// A number of its own: the same order given again counts anew.
     pub number: u64,
     /// What.
-    pub wish: Wish,
+    #[serde(rename = "wish")]
+    pub kind: OrderKind,
     /// It counts for so many milliseconds.
     pub lasts_ms: u64,
 }
 
 /// What an operator can want of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Wish {
+pub enum OrderKind {
     /// It is emptied within so many milliseconds.
     Evacuate(u64),
     /// It stays as it is, whatever is seen.
@@ -219,7 +225,7 @@
             false => plan.grants.clone(),
         };
         let wanted = due || self.helps_somebody(plan, &grants, digests);
-        wanted.then(|| Plan { renewed: plan.renewed + 1, grants, ..plan.clone() })
+        wanted.then(|| Plan { renewals: plan.renewals + 1, grants, ..plan.clone() })
     }
 
     /// Whether it has made plans for long enough to have heard everybody who can be heard.
@@ -262,15 +268,15 @@
         for (name, digest) in digests {
             let demand = self.demand(plan, digest);
             let own = plan.zones.get(&digest.zone);
-            let second = own.and_then(|zone| zone.then.as_ref());
-            let part = own.map_or(0.0, |zone| f64::from(zone.part) / 1e3);
+            let second = own.and_then(|zone| zone.fallback.as_ref());
+            let part = own.map_or(0.0, |zone| f64::from(zone.fallback_share) / 1e3);
             let home = self.zones.iter().position(|zone| *zone == digest.zone);
             let at_home = home.map_or(0.0, |home| demand[home]);
             let overflow = self.zones.iter().map(|to| if second == Some(to) { part * at_home } else { 0.0 });
             let used = self.zones.iter().map(|zone| digest.zones.get(zone).map_or(0, |seen| seen.held()));
             let used: Vec<u32> = used.collect();
             let acknowledges = record.is_some_and(|plan| {
-                digest.follows == Some(plan.serial) && digest.renewal == Some(plan.renewed)
+                digest.follows == Some(plan.serial) && digest.renewal == Some(plan.renewals)
             });
             let report = Report { started: digest.started, acknowledges, used: &used };
             let holder = Holder {
@@ -310,16 +316,16 @@
     fn resume(&mut self, now: Micros, record: Option<&Plan>) {
         let Some(plan) = record else { return };
         for (z, name) in self.zones.iter().enumerate() {
-            let state = plan.zones.get(name).map_or(State::Near, |zone| zone.state);
+            let state = plan.zones.get(name).map_or(ZoneState::Near, |zone| zone.state);
             let way = self.paths.entry((z, z)).or_default();
             match state {
-                State::Away if way.closed.is_none() => {
+                ZoneState::Away if way.closed.is_none() => {
                     (way.closed, way.times, way.last) = (Some(now), way.times.max(1), now)
                 }
-                State::Returning if way.opens.is_none() && way.closed.is_none() => {
+                ZoneState::Returning if way.opens.is_none() && way.closed.is_none() => {
                     (way.opens, way.times, way.last) = (Some(now), way.times.max(1), now);
                 }
-                State::Spill => self.spills[z] = true,
+                ZoneState::Spill => self.spills[z] = true,
                 _ => {}
             }
         }
@@ -378,21 +384,21 @@
             if seen.2.is_nan() {
                 seen.2 = open[z][z];
             }
-            let level = match order.wish {
-                Wish::Evacuate(over) => {
+            let level = match order.kind {
+                OrderKind::Evacuate(over) => {
                     let gone = (now - seen.1) as f64 / (over.max(1) * 1_000) as f64;
                     // In steps, so that it is not another plan each second.
                     (1.0 - (gone * 10.0).floor() / 10.0).max(0.0)
                 }
-                Wish::Hold => seen.2,
+                OrderKind::Hold => seen.2,
             };
             for row in open.iter_mut() {
-                row[z] = match order.wish {
-                    Wish::Evacuate(_) => row[z].min(level),
-                    Wish::Hold => level,
+                row[z] = match order.kind {
+                    OrderKind::Evacuate(_) => row[z].min(level),
+                    OrderKind::Hold => level,
                 };
             }
-            let what = if matches!(order.wish, Wish::Hold) { "held" } else { "evacuated" };
+            let what = if matches!(order.kind, OrderKind::Hold) { "held" } else { "evacuated" };
             whys[z] = (true, format!("{what} by an operator"));
         }
         let ask =
@@ -488,24 +494,27 @@
             let shares: BTreeMap<String, Vec<(String, u32)>> = shares.collect();
             let kept = amounts[f].iter().map(|to| to[f]).sum::<f64>();
             let state = match q.open[f][f] {
-                0.0 => State::Away,
-                open if open < 1.0 => State::Returning,
-                _ if self.spills[f] || kept < 0.95 * want => State::Spill,
-                _ => State::Near,
+                0.0 => ZoneState::Away,
+                open if open < 1.0 => ZoneState::Returning,
+                _ if self.spills[f] || kept < 0.95 * want => ZoneState::Spill,
+                _ => ZoneState::Near,
             };
             let was = record.and_then(|plan| plan.zones.get(&q.zones[f]));
             let since = was.filter(|was| was.state == state).map_or(serial, |was| was.since);
-            let why = match (&whys[f], state) {
+            let reason = match (&whys[f], state) {
                 ((_, why), _) if !why.is_empty() => why.clone(),
-                (_, State::Spill) => format!("{want:.0} wanted, room for {:.0}", q.capacity[f]),
+                (_, ZoneState::Spill) => format!("{want:.0} wanted, room for {:.0}", q.capacity[f]),
                 _ => "it carries what it is asked for".into(),
             };
-            let room = q.capacity[f] as u32;
-            let part = then[f].map_or(0, |t| (tried(t) * 1e3) as u32);
-            let then = then[f].map(|t| q.zones[t].clone());
-            zones.insert(q.zones[f].clone(), Zone { state, why, since, room, shares, then, part });
+            let capacity = q.capacity[f] as u32;
+            let fallback_share = then[f].map_or(0, |t| (tried(t) * 1e3) as u32);
+            let fallback = then[f].map(|t| q.zones[t].clone());
+            zones.insert(
+                q.zones[f].clone(),
+                ZonePlan { state, reason, since, capacity, shares, fallback, fallback_share },
+            );
         }
-        Plan { serial, renewed: 0, zones, grants: Grants::new() }
+        Plan { serial, renewals: 0, zones, grants: Grants::new() }
     }
 
     /// Who is heard, and which plan each follows.
@@ -526,7 +535,7 @@
                     .iter()
                     .map(|(to, _)| (old.share(name, class, to) - new.share(name, class, to)).abs());
                 let sum =
-                    |zone: &Zone| zone.shares.get(class).into_iter().flatten().map(|s| s.1).sum::<u32>();
+                    |zone: &ZonePlan| zone.shares.get(class).into_iter().flatten().map(|s| s.1).sum::<u32>();
                 told.fold(f64::from(sum(was).abs_diff(sum(zone))) / 1e3, f64::max) > BAND
             };
             was.state != zone.state || zone.shares.iter().any(share)
--- a/src/failover/plan_tests.rs
+++ b/src/failover/plan_tests.rs
@@ -176,7 +176,7 @@
     plan: Option<Plan>,
     orders: BTreeMap<String, Order>,
     number: u64,
-    states: Vec<(Micros, String, State)>,
+    states: Vec<(Micros, String, ZoneState)>,
 }
 
 const S: Micros = 1_000_000;
@@ -222,7 +222,7 @@
                     let wants = [("payout".to_string(), want / 4), ("watch".to_string(), want)].into();
                     self.number += 1;
                     let follows = self.plan.as_ref().map(|plan| plan.serial);
-                    let renewal = self.plan.as_ref().map(|plan| plan.renewed);
+                    let renewal = self.plan.as_ref().map(|plan| plan.renewals);
                     let digest = Digest {
                         name: format!("n{n}"),
                         started: 1,
@@ -250,7 +250,7 @@
                 assert!(self
                     .plan
                     .as_ref()
-                    .is_none_or(|old| plan.serial == old.serial && plan.renewed == old.renewed + 1
+                    .is_none_or(|old| plan.serial == old.serial && plan.renewals == old.renewals + 1
                         || plan.serial == old.serial + 1));
                 self.plan = Some(plan);
             }
@@ -261,7 +261,7 @@
         self.plan.as_ref().unwrap().share(from, "watch", to)
     }
 
-    fn state(&self, zone: &str) -> State {
+    fn state(&self, zone: &str) -> ZoneState {
         self.plan.as_ref().unwrap().zones[zone].state
     }
 }
@@ -271,9 +271,9 @@
 fn a_lost_zone_is_left_for_its_region_and_gone_back_to_step_by_step() {
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 18);
-    assert!(["a", "b", "c"].iter().all(|z| fleet.state(z) == State::Near && fleet.share(z, z) > 0.99));
+    assert!(["a", "b", "c"].iter().all(|z| fleet.state(z) == ZoneState::Near && fleet.share(z, z) > 0.99));
     fleet.run(8, |_, to, _| to != "a", 18);
-    assert_eq!(fleet.state("a"), State::Away, "{:?}", fleet.plan);
+    assert_eq!(fleet.state("a"), ZoneState::Away, "{:?}", fleet.plan);
     assert!(
         fleet.share("a", "b") > 0.9 && fleet.share("a", "c") < 0.1 && fleet.share("b", "b") > 0.99,
         "{:?}",
@@ -281,10 +281,10 @@
     );
     fleet.run(30, |_, to, _| to != "a", 18);
     fleet.run(17, |_, _, _| true, 18);
-    assert_eq!(fleet.state("a"), State::Returning, "{:?}", fleet.states);
+    assert_eq!(fleet.state("a"), ZoneState::Returning, "{:?}", fleet.states);
     assert!(fleet.share("a", "a") < 0.5);
     fleet.run(30, |_, _, _| true, 18);
-    assert_eq!(fleet.state("a"), State::Near);
+    assert_eq!(fleet.state("a"), ZoneState::Near);
     assert!(fleet.share("a", "a") > 0.99);
     let changes = fleet.states.iter().filter(|(at, ..)| *at > 10).count();
     assert_eq!(changes, 3, "{:?}", fleet.states);
@@ -299,7 +299,7 @@
     fleet.run(60, |_, _, _| true, 18);
     let changes: Vec<_> = fleet.states.iter().filter(|(at, ..)| *at > 10).collect();
     assert!(changes.iter().all(|(_, zone, _)| zone == "b") && changes.len() == 3, "{changes:?}");
-    assert_eq!(fleet.state("b"), State::Near);
+    assert_eq!(fleet.state("b"), ZoneState::Near);
 }
 
 /// Guards against a zone that is cut off and loses its own near traffic, and against others that spill into it.
@@ -308,7 +308,7 @@
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 18);
     fleet.run(10, |from, to, _| from == to || from != "a" && to != "a", 18);
-    assert!(fleet.state("a") == State::Near && fleet.share("a", "a") > 0.99);
+    assert!(fleet.state("a") == ZoneState::Near && fleet.share("a", "a") > 0.99);
     // b is lost too, so its traffic would be nearest at a.
     fleet.run(10, |from, to, _| to != "b" && (from == to || from != "a" && to != "a"), 18);
     assert!(fleet.share("b", "a") == 0.0 && fleet.share("b", "c") > 0.9, "{:?}", fleet.plan);
@@ -351,9 +351,10 @@
                 zones.iter().flat_map(|to| zones.map(|fails| (*to, fails))).filter(|(a, b)| a != b)
             {
                 let given: f64 = zones.iter().map(|from| at(from, to)).sum();
-                let tried = zones.iter().filter(|from| plan.zones[**from].then.as_deref() == Some(to));
-                let more: f64 =
-                    tried.map(|from| f64::from(plan.zones[*from].part) / 1e3 * at(from, fails)).sum();
+                let tried = zones.iter().filter(|from| plan.zones[**from].fallback.as_deref() == Some(to));
+                let more: f64 = tried
+                    .map(|from| f64::from(plan.zones[*from].fallback_share) / 1e3 * at(from, fails))
+                    .sum();
                 spared += usize::from(more > 0.0);
                 assert!(
                     given + more <= 90.5,
@@ -370,26 +371,26 @@
 fn orders_go_before_the_planner_and_end_and_another_planner_goes_on() {
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 18);
-    let order = |number, wish, lasts_ms| Order { number, wish, lasts_ms };
-    fleet.orders.insert("a".into(), order(1, Wish::Evacuate(10_000), 40_000));
+    let order = |number, kind, lasts_ms| Order { number, kind, lasts_ms };
+    fleet.orders.insert("a".into(), order(1, OrderKind::Evacuate(10_000), 40_000));
     fleet.run(5, |_, _, _| true, 18);
     assert!((0.3..0.8).contains(&fleet.share("a", "a")), "{:?}", fleet.plan);
     fleet.run(10, |_, _, _| true, 18);
     assert!(fleet.share("a", "a") == 0.0 && fleet.share("a", "b") > 0.9);
-    assert!(fleet.plan.as_ref().unwrap().zones["a"].why.contains("operator"));
+    assert!(fleet.plan.as_ref().unwrap().zones["a"].reason.contains("operator"));
     fleet.run(40, |_, _, _| true, 18);
     assert!(fleet.orders.is_empty() && fleet.share("a", "a") > 0.99, "{:?}", fleet.plan);
-    fleet.orders.insert("b".into(), order(2, Wish::Hold, 20_000));
+    fleet.orders.insert("b".into(), order(2, OrderKind::Hold, 20_000));
     fleet.run(10, |_, to, _| to != "b", 18);
-    assert_eq!(fleet.state("b"), State::Near);
+    assert_eq!(fleet.state("b"), ZoneState::Near);
     // Another makes the plans from here on: it begins with what the last one says.
     fleet.orders.clear();
     fleet.run(10, |_, to, _| to != "b", 18);
-    assert_eq!(fleet.state("b"), State::Away);
+    assert_eq!(fleet.state("b"), ZoneState::Away);
     fleet.planner = Fleet::new().planner;
     let changes = fleet.states.len();
     fleet.run(10, |_, to, _| to != "b", 18);
-    assert_eq!((fleet.state("b"), fleet.states.len()), (State::Away, changes));
+    assert_eq!((fleet.state("b"), fleet.states.len()), (ZoneState::Away, changes));
 }
 
 /// A planner that had just begun renewed the plan before it had heard anybody: it took every capacity for 0, and all clients were
@@ -402,5 +403,5 @@
     assert!(before.grants.values().all(|grant| grant.limits.iter().sum::<u32>() >= 22), "{before:?}");
     fleet.planner = Fleet::new().planner;
     let (renewed, _) = fleet.planner.turn(fleet.now, Some(&before), &fleet.orders);
-    assert_eq!(renewed, Some(Plan { renewed: before.renewed + 1, ..before }));
+    assert_eq!(renewed, Some(Plan { renewals: before.renewals + 1, ..before }));
 }
--- a/src/group/duties.rs
+++ b/src/group/duties.rs
@@ -80,7 +80,7 @@
         let Some(token) = acts else { return planner.rest() };
         let (put, over) = planner.turn(now, old.as_ref(), &orders);
         if let Some(plan) = put {
-            let (serial, renewed) = (plan.serial, plan.renewed);
+            let (serial, renewed) = (plan.serial, plan.renewals);
             tracing::debug!(target: PROPOSALS, serial, renewed, to = self.asks(), "a plan is proposed");
             if old.as_ref().is_none_or(|old| old.serial != plan.serial) {
                 self.report_under(FAILOVER, token, Event::Planned(plan.clone()));
@@ -93,7 +93,7 @@
     }
 
     /// An operator wants something of a zone, or nothing any more.
-    pub fn order(&mut self, zone: &str, wish: Option<plan::Wish>, lasts_ms: u64) {
+    pub fn order(&mut self, zone: &str, wish: Option<plan::OrderKind>, lasts_ms: u64) {
         self.wish(Wish::Change(Command::Order { zone: zone.into(), wish, lasts_ms }), None);
     }
 
@@ -103,10 +103,11 @@
         let (record, mut text) = (self.record(), String::new());
         let Some(plan) = &record.plan else { return "no plan\r\n".into() };
         let holder = self.holder(FAILOVER).unwrap_or("nobody".into());
-        let _ = write!(text, "plan {} renewed={} by={holder}\r\n", plan.serial, plan.renewed);
+        let _ = write!(text, "plan {} renewed={} by={holder}\r\n", plan.serial, plan.renewals);
         for (name, zone) in &plan.zones {
-            let (state, then) = (zone.state.name(), zone.then.as_deref().unwrap_or("none"));
-            let (since, room, part, why) = (zone.since, zone.room, f64::from(zone.part) / 10.0, &zone.why);
+            let (state, then) = (zone.state.name(), zone.fallback.as_deref().unwrap_or("none"));
+            let (since, room, part, why) =
+                (zone.since, zone.capacity, f64::from(zone.fallback_share) / 10.0, &zone.reason);
             let _ = write!(
                 text,
                 "zone {name} {state} since={since} room={room} then={then} part={part:.1}% why={why:?}\r\n"
@@ -118,7 +119,7 @@
             }
         }
         for (zone, order) in &record.orders {
-            let _ = write!(text, "order {zone} {:?} for={}s\r\n", order.wish, order.lasts_ms / 1_000);
+            let _ = write!(text, "order {zone} {:?} for={}s\r\n", order.kind, order.lasts_ms / 1_000);
         }
         if let Some(planner) = self.planner.as_ref().filter(|_| self.acts(now, FAILOVER).is_some()) {
             for (serial, names) in planner.followers() {
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -127,7 +127,7 @@
     let mut proposed = net.all[0].record().ordered;
     for round in 0..40 {
         for i in 0..3 {
-            net.all[i].order("z", Some(crate::failover::plan::Wish::Hold), 1_000);
+            net.all[i].order("z", Some(crate::failover::plan::OrderKind::Hold), 1_000);
             proposed += 1;
             net.run(350_000);
             assert_eq!(
--- a/src/group/record.rs
+++ b/src/group/record.rs
@@ -5,7 +5,7 @@
 //! takes the usual for what it misses. A command's kind may be proposed only by a release whose neighbour knows it; a voter
 //! that cannot read what was decided votes no more.
 
-use crate::failover::plan::{Order, Plan, Wish};
+use crate::failover::plan::{Order, OrderKind, Plan};
 use crate::failover::MAX_ZONES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -105,7 +105,7 @@
         /// The zone.
         zone: String,
         /// What.
-        wish: Option<Wish>,
+        wish: Option<OrderKind>,
         /// For how long.
         lasts_ms: u64,
     },
@@ -198,9 +198,10 @@
                 Outcome::Done
             }
             Command::Plan { task, token, plan } => {
-                let (serial, renewed) = self.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewed));
-                let next = (plan.serial, plan.renewed) == (serial + 1, 0);
-                let again = self.plan.is_some() && (plan.serial, plan.renewed) == (serial, renewed + 1);
+                let (serial, renewed) =
+                    self.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewals));
+                let next = (plan.serial, plan.renewals) == (serial + 1, 0);
+                let again = self.plan.is_some() && (plan.serial, plan.renewals) == (serial, renewed + 1);
                 if !next && !again || plan.zones.len() > MAX_ZONES || self.held(task, *token).is_none() {
                     return Outcome::Stale;
                 }
@@ -214,7 +215,7 @@
                     Some(_) if full => return Outcome::Stale,
                     Some(wish) => {
                         self.ordered += 1;
-                        let order = Order { number: self.ordered, wish: wish.clone(), lasts_ms: *lasts_ms };
+                        let order = Order { number: self.ordered, kind: wish.clone(), lasts_ms: *lasts_ms };
                         self.orders.insert(zone.clone(), order);
                     }
                     None if self.orders.remove(zone).is_none() => return Outcome::Stale,
@@ -284,13 +285,13 @@
                     Command::Plan {
                         task: task.into(),
                         token,
-                        plan: Plan { serial, renewed, ..Plan::default() },
+                        plan: Plan { serial, renewals: renewed, ..Plan::default() },
                     }
                 }
             ),
             (0u8..4, any::<bool>()).prop_map(|(zone, some)| Command::Order {
                 zone: format!("z{zone}"),
-                wish: some.then_some(Wish::Evacuate(7)),
+                wish: some.then_some(OrderKind::Evacuate(7)),
                 lasts_ms: 9
             }),
             (0u8..4, 0u64..9).prop_map(|(zone, number)| Command::Ended { zone: format!("z{zone}"), number }),
@@ -314,7 +315,7 @@
                 };
                 prop_assert_eq!(state.version > before.version, told(&state) != told(&before));
                 prop_assert!(state.pages == before.pages || state.pages == before.pages + 1);
-                let age = |state: &State| state.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewed));
+                let age = |state: &State| state.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewals));
                 prop_assert!(age(&state) >= age(&before), "a plan that falls");
                 if let (Command::Acquire { task, holder }, Outcome::Granted(token)) = (&command, &outcome) {
                     let to = (task.clone(), holder.clone());
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -13,7 +13,7 @@
 use crate::api::Micros;
 use crate::broker::operations::Operations;
 use crate::broker::Broker;
-use crate::failover::plan::{Planner, Wish};
+use crate::failover::plan::{OrderKind, Planner};
 use crate::failover::FailoverSettings;
 use crate::logging;
 use crate::peers::seal::{Seal, ADDED, LONGEST};
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Something of a zone for so many milliseconds, or nothing any more.
-    Zone(String, Option<Wish>, u64),
+    Zone(String, Option<OrderKind>, u64),
     /// Another voter is to lead.
     StepDown,
     /// All tasks held here are to be given back.
@@ -346,7 +346,7 @@
         }
         Event::Planned(plan) => {
             for (name, zone) in &plan.zones {
-                let (state, why, serial) = (zone.state.name(), &zone.why, plan.serial);
+                let (state, why, serial) = (zone.state.name(), &zone.reason, plan.serial);
                 tracing::info!(serial, zone = name, state, why, "zones: planned");
             }
         }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -7,7 +7,7 @@
 use super::relay;
 use crate::api::Micros;
 use crate::broker::operations::Operations;
-use crate::failover::plan::Wish;
+use crate::failover::plan::OrderKind;
 use crate::group::task::{Board, Order};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -42,7 +42,7 @@
     /// The zones by the fleet's plan.
     Zones,
     /// Something is wanted of a zone, or nothing any more, for so many milliseconds.
-    Zone(String, Option<Wish>, u64),
+    Zone(String, Option<OrderKind>, u64),
 }
 
 /// An operator's word on a zone counts for so long where nothing else is said.
@@ -58,8 +58,9 @@
     let lasts = || opt(seconds()).map(|lasts| 1_000 * lasts.unwrap_or(LASTS));
     alt((
         (preceded("EVACUATE", name()), seconds(), lasts())
-            .map(|(zone, over, lasts)| Call::Zone(zone, Some(Wish::Evacuate(1_000 * over)), lasts)),
-        (preceded("HOLD", name()), lasts()).map(|(zone, lasts)| Call::Zone(zone, Some(Wish::Hold), lasts)),
+            .map(|(zone, over, lasts)| Call::Zone(zone, Some(OrderKind::Evacuate(1_000 * over)), lasts)),
+        (preceded("HOLD", name()), lasts())
+            .map(|(zone, lasts)| Call::Zone(zone, Some(OrderKind::Hold), lasts)),
         preceded("RELEASE", name()).map(|zone| Call::Zone(zone, None, 0)),
     ))
     .parse_next(input)
