--- a/lab/src/virt/common.rs
+++ b/lab/src/virt/common.rs
@@ -45,11 +45,11 @@
             if tells {
                 common.told = self.now;
                 let digest = self.nodes[n].decider.digest(self.now, &mut out);
-                digest.into_iter().for_each(|digest| common.planner.take(self.now, digest));
+                digest.into_iter().for_each(|digest| common.planner.receive_digest(self.now, digest));
             }
             self.act(n, out);
         }
-        let (put, _) = common.planner.turn(self.now, common.plan.as_ref(), &BTreeMap::new());
+        let (put, _) = common.planner.advance(self.now, common.plan.as_ref(), &BTreeMap::new());
         common.plan = put.or(common.plan);
         self.common = Some(common);
     }
--- a/src/broker/zones.rs
+++ b/src/broker/zones.rs
@@ -4,7 +4,7 @@
 use super::occupancy::{Occupancies, Occupancy, Slot};
 use crate::api::*;
 use crate::failover::evidence::{Digest, Observation, ObservationWindow, ZoneObservations};
-use crate::failover::follow::{Choice, Follower};
+use crate::failover::follow::{PlanFollower, ZoneChoice};
 use crate::failover::plan::Plan;
 use crate::failover::FailoverSettings;
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
 /// The zones.
 pub struct Zones {
     place: Place,
-    follower: Follower,
+    follower: PlanFollower,
     observations: ObservationWindow,
     instances: BTreeMap<HostId, Entry>,
     number: u64,
@@ -88,7 +88,7 @@
 impl Zones {
     /// Those of a balancer that follows plans by these settings.
     pub fn new(settings: FailoverSettings, place: Place) -> Zones {
-        let follower = Follower::new(settings, &place.name, place.started, &place.zone);
+        let follower = PlanFollower::new(settings, &place.name, place.started, &place.zone);
         let (observations, instances) = (ObservationWindow::default(), BTreeMap::new());
         let phase = xxh64(place.name.as_bytes(), 1) % 4_096;
         let occupancies = Occupancies::default();
@@ -130,9 +130,9 @@
     /// The record has this plan, or as before; whether another one is followed from now on.
     pub fn follow(&mut self, now: Micros, plan: Option<&Plan>) -> Option<Option<u64>> {
         self.advance(now);
-        plan.iter().for_each(|plan| self.follower.take(now, plan));
+        plan.iter().for_each(|plan| self.follower.receive_plan(now, plan));
         self.advance(now);
-        let follows = self.follower.follows();
+        let follows = self.follower.followed_plan();
         let was = std::mem::replace(&mut self.announced, follows);
         Some(follows).filter(|follows| *follows != was)
     }
@@ -144,13 +144,13 @@
             let zone = zones.iter().position(|zone| zone == name);
             zone.map_or(0, |zone| occupancies.of(zone).established)
         };
-        self.follower.turn(now, established);
+        self.follower.advance(now, established);
     }
 
     /// Whether one more connection may go to a zone: what this balancer holds there stays within its capacity lease.
     fn has_capacity(&self, zone: usize) -> bool {
         let Some(name) = self.place.zones.get(zone) else { return true };
-        self.follower.limit(name).allows_beyond(self.occupancies.of(zone).total())
+        self.follower.connection_limit(name).allows_beyond(self.occupancies.of(zone).total())
     }
 
     /// Whether an attempt may be sent to a server now. Asked at the send, since others may have been sent since it was placed.
@@ -160,7 +160,7 @@
         let may = self.has_capacity(zone);
         if !may {
             let (plan, zone) =
-                (self.follower.follows(), self.place.zones.get(zone).map_or("", String::as_str));
+                (self.follower.followed_plan(), self.place.zones.get(zone).map_or("", String::as_str));
             tracing::debug!(target: ADMISSIONS, plan, zone, "not sent: the capacity lease is used up");
         }
         may
@@ -174,9 +174,9 @@
     ) -> Result<Option<(usize, Option<usize>)>, Option<Micros>> {
         self.advance(now);
         let class = self.place.classes.get(known.class).map_or("", String::as_str);
-        match self.follower.choice(now, known.key(), class) {
-            Choice::Own => Ok(None),
-            Choice::To(zone, then) => {
+        match self.follower.choose_zone(now, known.key(), class) {
+            ZoneChoice::Own => Ok(None),
+            ZoneChoice::To(zone, then) => {
                 // Nobody is sent where this balancer's own list has named nothing.
                 let Some(zone) = self.index(&zone).filter(|&zone| self.ready(zone).next().is_some()) else {
                     return Ok(None);
@@ -188,13 +188,13 @@
                     (false, None) => Err(self.refuse(now, known)),
                 }
             }
-            Choice::Refuse => Err(self.refuse(now, known)),
+            ZoneChoice::Refuse => Err(self.refuse(now, known)),
         }
     }
 
     /// Nobody can carry it: when to come again.
     fn refuse(&mut self, now: Micros, known: &Known) -> Option<Micros> {
-        let plan = self.follower.follows();
+        let plan = self.follower.followed_plan();
         tracing::debug!(target: ADMISSIONS, plan, call = &*known.call.0, "refused: no zone has capacity for it");
         self.observations.record_client(now, known.class, known.client(), false);
         let after = AFTER + xxh64(known.call.0.as_bytes(), now) % AFTER;
@@ -205,7 +205,8 @@
     pub fn send(&mut self, call: &CallId, host: HostId) -> Option<Slot> {
         let zone = self.zone_of(host)?;
         let held = self.occupancies.of(zone);
-        let (name, plan) = (self.place.zones.get(zone).map_or("", String::as_str), self.follower.follows());
+        let (name, plan) =
+            (self.place.zones.get(zone).map_or("", String::as_str), self.follower.followed_plan());
         let (established, in_flight) = (held.established, held.in_flight);
         tracing::debug!(target: ADMISSIONS, zone = name, plan, established, in_flight, call = &*call.0, "sent to a zone");
         Some(self.occupancies.send(zone))
@@ -276,7 +277,7 @@
             let all: Vec<HostId> = self.ready(zone).map(|e| e.host).collect();
             all.get(self.probes % all.len().max(1)).copied()
         };
-        let due = |zone: &usize| wrong || rarely || !self.follower.near(&self.place.zones[*zone]);
+        let due = |zone: &usize| wrong || rarely || !self.follower.is_near(&self.place.zones[*zone]);
         zones.filter(due).filter_map(one).collect()
     }
 
@@ -321,8 +322,8 @@
             started: self.place.started,
             sequence: self.number,
             zone: self.place.zone.clone(),
-            follows: self.follower.follows(),
-            renewal: self.follower.renewal(),
+            follows: self.follower.followed_plan(),
+            renewal: self.follower.followed_renewal(),
             zones,
             demand: wanted.collect(),
         }
@@ -334,7 +335,7 @@
         now: Micros,
         books: impl Iterator<Item = (Known<'a>, HostId)>,
     ) -> Vec<CallId> {
-        if self.follower.follows().is_none() || now < self.looked + LOOK {
+        if self.follower.followed_plan().is_none() || now < self.looked + LOOK {
             return Vec::new();
         }
         self.looked = now;
@@ -342,13 +343,13 @@
             let at =
                 self.instances.get(host).and_then(|e| e.zone).and_then(|zone| self.place.zones.get(zone));
             let class = self.place.classes.get(known.class).map_or("", String::as_str);
-            match (at, self.follower.choice(now, known.key(), class)) {
-                (Some(at), Choice::To(zone, _)) => zone != *at,
+            match (at, self.follower.choose_zone(now, known.key(), class)) {
+                (Some(at), ZoneChoice::To(zone, _)) => zone != *at,
                 _ => false,
             }
         };
         let strays: Vec<CallId> = books.filter(stray).map(|(known, _)| known.call.clone()).collect();
-        let n = self.follower.moves(now, strays.len(), self.place.balancers);
+        let n = self.follower.allowed_moves(now, strays.len(), self.place.balancers);
         strays.into_iter().take(n).collect()
     }
 }
--- a/src/cli/zones.rs
+++ b/src/cli/zones.rs
@@ -90,7 +90,7 @@
     let file = std::fs::File::open(record).map_err(|e| format!("cannot read {}: {e}", record.display()))?;
     let (mut plan, mut now, mut first, mut seen) = (None::<Plan>, None::<u64>, 0, 0);
     let turn = |planner: &mut Planner, plan: &mut Option<Plan>, now: u64, first: u64| {
-        let Some(next) = planner.turn(now, plan.as_ref(), &BTreeMap::new()).0 else { return };
+        let Some(next) = planner.advance(now, plan.as_ref(), &BTreeMap::new()).0 else { return };
         if plan.as_ref().is_none_or(|old| old.serial != next.serial) {
             for (name, zone) in &next.zones {
                 let at = (now - first) as f64 / 1e6;
@@ -122,7 +122,7 @@
             turn(&mut planner, &mut plan, at, first);
         }
         now = Some(at.max(now.unwrap_or(us)));
-        planner.take(us, digest);
+        planner.receive_digest(us, digest);
         seen += 1;
     }
     match seen {
--- a/src/failover/follow.rs
+++ b/src/failover/follow.rs
@@ -13,7 +13,7 @@
 
 /// Where a command goes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Choice {
+pub enum ZoneChoice {
     /// As without a plan.
     Own,
     /// To a zone, and where it may be tried when that failed.
@@ -27,25 +27,25 @@
 
 /// How many connections a balancer may hold in a zone, attempts in flight included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limit {
+pub enum ConnectionLimit {
     /// Nobody said.
     Unbounded,
     /// So many at most.
     AtMost(u32),
 }
 
-impl Limit {
+impl ConnectionLimit {
     /// Whether one more than these is allowed.
     pub fn allows_beyond(self, held: u32) -> bool {
         match self {
-            Limit::Unbounded => true,
-            Limit::AtMost(most) => held < most,
+            ConnectionLimit::Unbounded => true,
+            ConnectionLimit::AtMost(most) => held < most,
         }
     }
 }
 
 /// The follower.
-pub struct Follower {
+pub struct PlanFollower {
     settings: FailoverSettings,
     name: String,
     /// When its process started.
@@ -64,11 +64,11 @@
     due: f64,
 }
 
-impl Follower {
+impl PlanFollower {
     /// That of a balancer in a zone, whose process was started then.
-    pub fn new(settings: FailoverSettings, name: &str, started: u64, zone: &str) -> Follower {
+    pub fn new(settings: FailoverSettings, name: &str, started: u64, zone: &str) -> PlanFollower {
         let me = xxh64(name.as_bytes(), 0);
-        Follower {
+        PlanFollower {
             settings,
             name: name.into(),
             started,
@@ -89,7 +89,7 @@
     }
 
     /// The record has this plan.
-    pub fn take(&mut self, now: Micros, plan: &Plan) {
+    pub fn receive_plan(&mut self, now: Micros, plan: &Plan) {
         let until = now + self.settings.plan_lifetime;
         let age = |plan: &Plan| (plan.serial, plan.renewals);
         let next = self.next.as_ref().map(|next| &next.0);
@@ -114,7 +114,7 @@
     }
 
     /// Changes to what it is time for; `established`: what stands in a zone from here.
-    pub fn turn(&mut self, now: Micros, established: impl Fn(&str) -> u32) {
+    pub fn advance(&mut self, now: Micros, established: impl Fn(&str) -> u32) {
         self.begun.get_or_insert(now);
         if let Some((plan, _, until)) = self.next.take_if(|next| now >= next.1) {
             self.plan = Some((plan, until));
@@ -126,57 +126,57 @@
     }
 
     /// The plan that it follows.
-    pub fn follows(&self) -> Option<u64> {
+    pub fn followed_plan(&self) -> Option<u64> {
         self.plan.as_ref().map(|plan| plan.0.serial)
     }
 
     /// Which renewal of the plan it follows: its grants are those in force here.
-    pub fn renewal(&self) -> Option<u64> {
+    pub fn followed_renewal(&self) -> Option<u64> {
         self.plan.as_ref().map(|plan| plan.0.renewals)
     }
 
     /// How many connections this balancer may hold in a zone. Where no plan is valid any more nothing beyond what stood when the
     /// last one ended goes to another zone: the others may have been granted the rest.
-    pub fn limit(&self, zone: &str) -> Limit {
+    pub fn connection_limit(&self, zone: &str) -> ConnectionLimit {
         let own = zone == self.zone;
         match (&self.plan, &self.ended) {
-            (Some((plan, _)), _) if plan.grants.is_empty() => Limit::Unbounded,
-            (Some((plan, _)), _) => match plan.limit(&self.name, self.started, zone) {
-                Some(limit) => Limit::AtMost(limit),
+            (Some((plan, _)), _) if plan.grants.is_empty() => ConnectionLimit::Unbounded,
+            (Some((plan, _)), _) => match plan.connection_limit(&self.name, self.started, zone) {
+                Some(limit) => ConnectionLimit::AtMost(limit),
                 // Whoever makes the plan has not heard of this balancer yet.
-                None if own => Limit::Unbounded,
-                None => Limit::AtMost(0),
+                None if own => ConnectionLimit::Unbounded,
+                None => ConnectionLimit::AtMost(0),
             },
             (None, Some((_, standing))) if !own => {
-                Limit::AtMost(standing.get(zone).copied().unwrap_or_default())
+                ConnectionLimit::AtMost(standing.get(zone).copied().unwrap_or_default())
             }
-            (None, _) => Limit::Unbounded,
+            (None, _) => ConnectionLimit::Unbounded,
         }
     }
 
     /// Where a client of a class goes that is known by this.
-    pub fn choice(&self, now: Micros, key: &str, class: &str) -> Choice {
+    pub fn choose_zone(&self, now: Micros, key: &str, class: &str) -> ZoneChoice {
         match (&self.plan, &self.ended) {
-            (Some((plan, _)), _) => self.choice_by(plan, key, class),
+            (Some((plan, _)), _) => self.choose_zone_by_plan(plan, key, class),
             // The plan's other zone only where the own one fails, and within the limit.
             (None, Some((plan, _))) => {
-                let then = match self.choice_by(plan, key, class) {
-                    Choice::To(zone, then) => Some(zone).filter(|zone| *zone != self.zone).or(then),
-                    Choice::Own | Choice::Refuse => None,
+                let then = match self.choose_zone_by_plan(plan, key, class) {
+                    ZoneChoice::To(zone, then) => Some(zone).filter(|zone| *zone != self.zone).or(then),
+                    ZoneChoice::Own | ZoneChoice::Refuse => None,
                 };
-                Choice::To(self.zone.clone(), then)
+                ZoneChoice::To(self.zone.clone(), then)
             }
             // One that has just started soon hears of the plan.
             (None, None) if self.begun.is_none_or(|begun| now < begun + self.settings.plan_lifetime) => {
-                Choice::To(self.zone.clone(), None)
+                ZoneChoice::To(self.zone.clone(), None)
             }
-            (None, None) => Choice::Own,
+            (None, None) => ZoneChoice::Own,
         }
     }
 
-    fn choice_by(&self, plan: &Plan, key: &str, class: &str) -> Choice {
-        let Some(zone) = plan.zones.get(&self.zone) else { return Choice::Own };
-        let Some(shares) = zone.shares.get(class) else { return Choice::Own };
+    fn choose_zone_by_plan(&self, plan: &Plan, key: &str, class: &str) -> ZoneChoice {
+        let Some(zone) = plan.zones.get(&self.zone) else { return ZoneChoice::Own };
+        let Some(shares) = zone.shares.get(class) else { return ZoneChoice::Own };
         // Its place among all clients, the same at every balancer and under every plan.
         let place = (xxh64(key.as_bytes(), 0x7a6f_6e65) % 1_000) as u32;
         let mut sum = 0;
@@ -185,20 +185,20 @@
             // Shares are rounded down.
             if place < sum || sum >= ROUNDED {
                 let then = zone.fallback.as_ref().filter(|then| *then != to && place < zone.fallback_share);
-                return Choice::To(to.clone(), then.cloned());
+                return ZoneChoice::To(to.clone(), then.cloned());
             }
         }
-        Choice::Refuse
+        ZoneChoice::Refuse
     }
 
     /// Whether the plan has a zone's traffic near, or there is none.
-    pub fn near(&self, zone: &str) -> bool {
+    pub fn is_near(&self, zone: &str) -> bool {
         let state = self.plan.as_ref().and_then(|plan| plan.0.zones.get(zone)).map(|zone| zone.state);
         state.is_none_or(|state| state == ZoneState::Near)
     }
 
     /// How many connections may be asked to move now, of so many balancers; it counts them as moved.
-    pub fn moves(&mut self, now: Micros, wanted: usize, balancers: u32) -> usize {
+    pub fn allowed_moves(&mut self, now: Micros, wanted: usize, balancers: u32) -> usize {
         let span = now.saturating_sub(self.moved).min(1_000_000);
         self.moved = now;
         let most = self.settings.fleet_moves_per_second / f64::from(balancers.max(1));
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -84,7 +84,7 @@
 
 impl Plan {
     /// How many connections the process of a balancer that was started then may hold in a zone; none where it is granted nothing.
-    pub fn limit(&self, balancer: &str, started: u64, zone: &str) -> Option<u32> {
+    pub fn connection_limit(&self, balancer: &str, started: u64, zone: &str) -> Option<u32> {
         let grant = self.grants.get(balancer).filter(|grant| grant.started == started)?;
         let zone = self.zones.keys().position(|name| name == zone)?;
         grant.limits.get(zone).copied()
@@ -163,7 +163,7 @@
     }
 
     /// A digest came, late, doubled or in order.
-    pub fn take(&mut self, now: Micros, digest: Digest) {
+    pub fn receive_digest(&mut self, now: Micros, digest: Digest) {
         let age = |d: &Digest| (d.started, d.sequence);
         let newer = self.heard.get(&digest.name).is_none_or(|(_, known)| age(&digest) > age(known));
         if newer && digest.is_within_bounds() && self.heard.len() < 4_096 {
@@ -172,12 +172,12 @@
     }
 
     /// Not the holder any more: the next time it begins by listening.
-    pub fn rest(&mut self) {
+    pub fn suspend(&mut self) {
         self.begun = None;
     }
 
     /// The plan that is wanted now, where it is another than the one in the record or that one is to be renewed; orders that are over.
-    pub fn turn(
+    pub fn advance(
         &mut self,
         now: Micros,
         record: Option<&Plan>,
@@ -317,13 +317,15 @@
         let Some(plan) = record else { return };
         for (z, name) in self.zones.iter().enumerate() {
             let state = plan.zones.get(name).map_or(ZoneState::Near, |zone| zone.state);
-            let way = self.paths.entry((z, z)).or_default();
+            let path = self.paths.entry((z, z)).or_default();
             match state {
-                ZoneState::Away if way.closed.is_none() => {
-                    (way.closed, way.times, way.last) = (Some(now), way.times.max(1), now)
+                ZoneState::Away if path.closed_since.is_none() => {
+                    (path.closed_since, path.recent_closures, path.last_change) =
+                        (Some(now), path.recent_closures.max(1), now)
                 }
-                ZoneState::Returning if way.opens.is_none() && way.closed.is_none() => {
-                    (way.opens, way.times, way.last) = (Some(now), way.times.max(1), now);
+                ZoneState::Returning if path.reopening_since.is_none() && path.closed_since.is_none() => {
+                    (path.reopening_since, path.recent_closures, path.last_change) =
+                        (Some(now), path.recent_closures.max(1), now);
                 }
                 ZoneState::Spill => self.spills[z] = true,
                 _ => {}
@@ -362,13 +364,13 @@
                 }
                 said => said,
             };
-            let way = self.paths.entry((f, t)).or_default();
-            let level = way.turn(now, said, &settings);
+            let path = self.paths.entry((f, t)).or_default();
+            let level = path.update(now, said, &settings);
             open[f][t] = level;
             if f == t && level < 1.0 {
                 whys[f].1 = match level == 0.0 {
-                    true if way.times > 1 => {
-                        format!("its balancers see it fail, for the {}th time lately", way.times)
+                    true if path.recent_closures > 1 => {
+                        format!("its balancers see it fail, for the {}th time lately", path.recent_closures)
                     }
                     true => "its balancers see it fail".into(),
                     false => format!("it does well again: {:.0}% of the way back", 100.0 * level),
--- a/src/failover/plan_tests.rs
+++ b/src/failover/plan_tests.rs
@@ -233,12 +233,12 @@
                         zones,
                         demand: wants,
                     };
-                    self.planner.take(self.now, digest.clone());
+                    self.planner.receive_digest(self.now, digest.clone());
                     // Doubled, and an old one after it.
-                    self.planner.take(self.now, Digest { sequence: self.number - 1, ..digest });
+                    self.planner.receive_digest(self.now, Digest { sequence: self.number - 1, ..digest });
                 }
             }
-            let (plan, over) = self.planner.turn(self.now, self.plan.as_ref(), &self.orders);
+            let (plan, over) = self.planner.advance(self.now, self.plan.as_ref(), &self.orders);
             self.orders.retain(|zone, _| !over.contains(zone));
             if let Some(plan) = plan {
                 for (name, zone) in &plan.zones {
@@ -402,6 +402,6 @@
     let before = fleet.plan.clone().unwrap();
     assert!(before.grants.values().all(|grant| grant.limits.iter().sum::<u32>() >= 22), "{before:?}");
     fleet.planner = Fleet::new().planner;
-    let (renewed, _) = fleet.planner.turn(fleet.now, Some(&before), &fleet.orders);
+    let (renewed, _) = fleet.planner.advance(fleet.now, Some(&before), &fleet.orders);
     assert_eq!(renewed, Some(Plan { renewals: before.renewals + 1, ..before }));
 }
--- a/src/group/duties.rs
+++ b/src/group/duties.rs
@@ -67,7 +67,7 @@
     pub(super) fn seen(&mut self, now: Micros, digest: Digest) {
         let Some(token) = self.acts(now, FAILOVER) else { return };
         let Some(planner) = &mut self.planner else { return };
-        planner.take(now, digest.clone());
+        planner.receive_digest(now, digest.clone());
         self.report_under(FAILOVER, token, Event::Seen(digest));
     }
 
@@ -77,8 +77,8 @@
         let record = self.record();
         let (old, orders) = (record.plan.clone(), record.orders.clone());
         let Some(planner) = &mut self.planner else { return };
-        let Some(token) = acts else { return planner.rest() };
-        let (put, over) = planner.turn(now, old.as_ref(), &orders);
+        let Some(token) = acts else { return planner.suspend() };
+        let (put, over) = planner.advance(now, old.as_ref(), &orders);
         if let Some(plan) = put {
             let (serial, renewed) = (plan.serial, plan.renewals);
             tracing::debug!(target: PROPOSALS, serial, renewed, to = self.asks(), "a plan is proposed");
