--- a/lab/src/virt/decider.rs
+++ b/lab/src/virt/decider.rs
@@ -3,7 +3,7 @@
 use crate::scenario::plan::stream;
 use crate::scenario::Scenario;
 use oakdeal::broker::core::Core;
-use oakdeal::broker::zones::Place;
+use oakdeal::broker::zones::BalancerContext;
 use oakdeal::contracts::Terms;
 use oakdeal::failover::evidence::Digest;
 use oakdeal::failover::plan::Plan;
@@ -96,15 +96,15 @@
         Choice::Own => {
             let env: Env = serde_json::from_value(settings).map_err(|e| e.to_string())?;
             let (settings, names) = env.translate().map_err(|e| e.to_string())?;
-            let place = Place {
+            let place = BalancerContext {
                 name: format!("b{seed:x}"),
                 started: 1,
                 zone: scenario.zone[zone].name.clone(),
                 zones: names.zones().to_vec(),
                 classes: names.classes().to_vec(),
-                cold: (settings.rules.cold_share, settings.rules.cold_time),
-                balancers: settings.peers_total,
-                longest: settings.limits.retry_after,
+                warm_up: (settings.rules.cold_share, settings.rules.cold_time),
+                balancer_count: settings.peers_total,
+                max_retry_after: settings.limits.retry_after,
             };
             let mut core = Core::new(settings, &names, seed).map_err(|e| e.to_string())?;
             if let Some(text) = &scenario.operator {
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -8,7 +8,7 @@
 use super::handover::Stand;
 use super::loads::{Client, Loads};
 use super::occupancy::Slot;
-use super::zones::{Known, Place, Zones};
+use super::zones::{BalancerContext, CommandIdentity, ZoneRouter};
 use crate::api::*;
 use crate::contracts::ledger::Reason;
 use crate::contracts::{Change, Contract, Contracts, End, Frame, Terms, Ticket};
@@ -57,8 +57,8 @@
         client(self.team.clone(), &self.key)
     }
 
-    fn known<'a>(&'a self, call: &'a CallId) -> Known<'a> {
-        Known { class: self.class, group: self.group.as_deref(), key: self.key.as_deref(), call }
+    fn known<'a>(&'a self, call: &'a CallId) -> CommandIdentity<'a> {
+        CommandIdentity { class: self.class, group: self.group.as_deref(), key: self.key.as_deref(), call }
     }
 
     fn of(demand: &Demand, team: Option<&str>) -> Book {
@@ -99,7 +99,7 @@
     books: BTreeMap<CallId, Book>,
     loads: Loads,
     /// The fleet's plan for zones; none where the operator wants none.
-    zones: Option<Zones>,
+    zones: Option<ZoneRouter>,
     /// Connections that stand at the process before this one: their clients come here. Who named no key is under none.
     older: BTreeMap<Option<Client>, Vec<CallId>>,
     /// Instances that the list calls ready: size, and when each was started.
@@ -146,7 +146,7 @@
         }
         let book = Book { ticket, ..Book::of(demand, team) };
         if let Some(zones) = &mut self.zones {
-            match zones.choose(now, &book.known(&demand.call)) {
+            match zones.choose_zones(now, &book.known(&demand.call)) {
                 Ok(chosen) => demand.zones = chosen,
                 Err(after) => {
                     if let Some((ticket, contracts)) = book.ticket.zip(self.contracts.as_mut()) {
@@ -246,7 +246,7 @@
                 if let Some(book) = self.books.get_mut(call) {
                     (book.stands, book.host) = (true, *host);
                     if let Some(zones) = &mut self.zones {
-                        zones.up(now, &book.known(call), *host, *elapsed);
+                        zones.record_established(now, &book.known(call), *host, *elapsed);
                         book.slot.iter_mut().for_each(|slot| zones.establish(slot));
                     }
                     if let Some((ticket, contracts)) = book.ticket.as_ref().zip(self.contracts.as_mut()) {
@@ -263,7 +263,7 @@
             Event::Finished { call, host, outcome, ended, .. } => {
                 let stands = self.books.get(call).is_some_and(|book| book.stands);
                 if let Some(zones) = &mut self.zones {
-                    zones.ended(now, *host, stands, *outcome);
+                    zones.record_ended(now, *host, stands, *outcome);
                 }
                 if !stands && matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout) {
                     self.seen(now, *host, false);
@@ -280,7 +280,7 @@
             }
             Event::Probed { host, outcome, .. } => {
                 if let Some(zones) = &mut self.zones {
-                    zones.probed(now, *host, *outcome == Outcome::Ok);
+                    zones.record_probe(now, *host, *outcome == Outcome::Ok);
                 }
             }
             _ => {}
@@ -318,7 +318,7 @@
     fn book_action(&mut self, now: Micros, action: &Action) {
         if let (Action::Refuse { call, .. } | Action::Fail { call }, Some(zones)) = (action, &mut self.zones)
         {
-            self.books.get(call).iter().for_each(|book| zones.unserved(now, &book.known(call)));
+            self.books.get(call).iter().for_each(|book| zones.record_unserved(now, &book.known(call)));
         }
         match action {
             Action::Send { call, host, .. } => self.occupy(call, *host),
@@ -349,7 +349,7 @@
     }
 
     fn listed(&mut self, now: Micros, kind: ListKind, hosts: &[Entry]) {
-        self.zones.iter_mut().for_each(|zones| zones.listed(kind, hosts));
+        self.zones.iter_mut().for_each(|zones| zones.update_instances(kind, hosts));
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.ready.clear();
         }
@@ -409,16 +409,16 @@
     }
 
     /// Zones by the fleet's plan from now on.
-    pub fn zones(&mut self, terms: crate::failover::FailoverSettings, place: Place) {
-        self.zones = Some(Zones::new(terms, place));
+    pub fn zones(&mut self, terms: crate::failover::FailoverSettings, context: BalancerContext) {
+        self.zones = Some(ZoneRouter::new(terms, context));
     }
 
     /// The fleet's plan as the record has it; whom it moves now, and which plan is followed if that has changed.
     pub fn follow(&mut self, now: Micros, plan: Option<&Plan>) -> (Vec<Action>, Option<Option<u64>>) {
         let Some(zones) = &mut self.zones else { return (Vec::new(), None) };
-        let changed = zones.follow(now, plan);
+        let changed = zones.receive_plan(now, plan);
         let standing = self.books.iter().filter(|(_, book)| book.stands);
-        let moves = zones.moves(now, standing.map(|(call, book)| (book.known(call), book.host)));
+        let moves = zones.next_moves(now, standing.map(|(call, book)| (book.known(call), book.host)));
         (moves.into_iter().map(|call| Action::Move { call }).collect(), changed)
     }
 
@@ -426,7 +426,7 @@
     pub fn digest(&mut self, now: Micros) -> Option<(Digest, Vec<HostId>)> {
         let zones = self.zones.as_mut()?;
         let classes = self.books.values().map(|book| book.class);
-        Some((zones.digest(now, classes), zones.probes(now)))
+        Some((zones.digest(now, classes), zones.next_probes(now)))
     }
 
     /// In a group: this balancer may rebalance before that time, and not from then on unless it is told again.
--- a/src/broker/lease_tests.rs
+++ b/src/broker/lease_tests.rs
@@ -1,6 +1,6 @@
 //! Capacity leases at the send: what one balancer holds in a zone, attempts in flight included, never passes its limit.
 
-use super::super::zones::Place;
+use super::super::zones::BalancerContext;
 use super::*;
 use crate::failover;
 use crate::failover::capacity::Grant;
@@ -29,18 +29,18 @@
     let (_, names) = env.translate().unwrap();
     let settings = Settings { classes: vec![class], peers_total: 1, zones: 2, ..Settings::default() };
     let mut core = Core::new(settings, &names, 1).unwrap();
-    let place = Place {
+    let context = BalancerContext {
         name: "n1".into(),
         started: 1,
         zone: "a".into(),
         zones: vec!["a".into(), "b".into()],
         classes: vec!["watch".into()],
-        balancers: 1,
-        ..Place::default()
+        balancer_count: 1,
+        ..BalancerContext::default()
     };
     core.zones(
         failover::FailoverSettings { changeover_window: 1, ..failover::FailoverSettings::default() },
-        place,
+        context,
     );
     let entry = |(host, zone)| Entry { zone: Some(zone), ..Entry::ready(host) };
     let hosts = HOSTS.map(entry).to_vec();
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -408,8 +408,8 @@
     }
 
     /// Zones by the fleet's plan from now on.
-    pub fn zones(&self, terms: crate::failover::FailoverSettings, place: zones::Place) {
-        self.state.borrow_mut().core.zones(terms, place);
+    pub fn zones(&self, terms: crate::failover::FailoverSettings, context: zones::BalancerContext) {
+        self.state.borrow_mut().core.zones(terms, context);
     }
 
     /// The fleet's plan as the record has it: whoever it has elsewhere is asked to move, at the fleet's pace.
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::api::ListKind;
 use crate::broker::operations::Operations;
-use crate::broker::zones::Place;
+use crate::broker::zones::BalancerContext;
 use crate::broker::{Broker, ListState};
 use crate::config::Config;
 use crate::group::task::{Group, Order};
@@ -266,20 +266,20 @@
     started: u64,
     broker: &Broker,
     settings: &crate::Settings,
-) -> Result<Place, String> {
+) -> Result<BalancerContext, String> {
     let zones = broker.names().zones().to_vec();
     let zone = settings.zone.and_then(|zone| zones.get(zone)).cloned();
     let zone =
         zone.ok_or("[failover]: the platform names no zone of this balancer (MyZone): take the section out")?;
-    Ok(Place {
+    Ok(BalancerContext {
         name: config.name.clone(),
         started,
         zone,
         zones,
         classes: broker.names().classes().to_vec(),
-        cold: (settings.rules.cold_share, settings.rules.cold_time),
-        balancers: settings.peers_total,
-        longest: settings.limits.retry_after,
+        warm_up: (settings.rules.cold_share, settings.rules.cold_time),
+        balancer_count: settings.peers_total,
+        max_retry_after: settings.limits.retry_after,
     })
 }
 
