--- a/src/failover/capacity_tests.rs
+++ b/src/failover/capacity_tests.rs
@@ -159,7 +159,7 @@
                         acknowledges: acknowledges || planted == Planted::NoAcknowledgement,
                         used: &[told.used],
                     };
-                    (told.started, held(grant, &report))
+                    (told.started, committed(grant, &report))
                 }
                 None if planted == Planted::ForgetsTheSilent => (0, vec![0]),
                 None => (0, grant.map_or(vec![0], |grant| grant.reserved.clone())),
@@ -169,7 +169,7 @@
                 Holder { started, demand: vec![demand], overflow: vec![0.0], zone: usize::MAX, held };
             holders.insert(name(b), holder);
         }
-        self.plans.push(allot(&[capacity], &holders));
+        self.plans.push(grant_limits(&[capacity], &holders));
     }
 
     fn used(&self) -> u32 {
@@ -271,11 +271,11 @@
         ("c".to_string(), holder(1, &[0.0, 4.0], &[0.0, 0.0])),
     ]
     .into();
-    let grants = allot(&[12, 24], &holders);
+    let grants = grant_limits(&[12, 24], &holders);
     assert_eq!(limits(&grants, 0), [12, 0, 0]);
     assert_eq!(limits(&grants, 1), [6, 12, 6]);
     // Less than is wanted: in proportion, and no more than there is.
-    let grants = allot(&[12, 7], &holders);
+    let grants = grant_limits(&[12, 7], &holders);
     assert_eq!(limits(&grants, 1), [0, 5, 2]);
 }
 
@@ -283,24 +283,24 @@
 fn a_grant_that_shrinks_frees_capacity_only_when_it_was_acknowledged() {
     let mut holders: BTreeMap<String, Holder> =
         [("a".to_string(), holder(0, &[8.0], &[0.0])), ("b".to_string(), holder(0, &[2.0], &[0.0]))].into();
-    let first = allot(&[10], &holders);
+    let first = grant_limits(&[10], &holders);
     assert_eq!(limits(&first, 0), [8, 2]);
     let report = |holders: &mut BTreeMap<String, Holder>, last: &Grants, acknowledged: bool| {
         for (name, holder) in holders {
             let report = Report { started: 0, acknowledges: acknowledged, used: &[1] };
-            holder.held = held(last.get(name), &report);
+            holder.held = committed(last.get(name), &report);
         }
     };
     // The clients change sides.
     holders.get_mut("a").unwrap().demand = vec![2.0];
     holders.get_mut("b").unwrap().demand = vec![8.0];
     report(&mut holders, &first, true);
-    let second = allot(&[10], &holders);
+    let second = grant_limits(&[10], &holders);
     assert_eq!((limits(&second, 0), second["a"].reserved[0]), (vec![2, 2], 8));
     report(&mut holders, &second, false);
-    assert_eq!(limits(&allot(&[10], &holders), 0), [2, 2]);
+    assert_eq!(limits(&grant_limits(&[10], &holders), 0), [2, 2]);
     report(&mut holders, &second, true);
-    assert_eq!(limits(&allot(&[10], &holders), 0), [2, 8]);
+    assert_eq!(limits(&grant_limits(&[10], &holders), 0), [2, 8]);
 }
 
 #[test]
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -1,12 +1,15 @@
-//! Failover between zones: what all balancers see together, one plan from it, and how each follows. No I/O, no clock.
+//! Failover between zones: the observations of all balancers, one plan made from them, and how each balancer follows that plan.
+//! No I/O, no clock.
 //!
-//! Promised: traffic is near while that is safe, and only what the near zone cannot carry crosses, to the nearest zone that has
-//! room, its own region first; no plan, and no mixture of a plan with the next, gives a zone more than its room as far as that
-//! is known; who is refused is refused by worth, at once. No minority of balancers that lie or are badly linked condemns a zone for
-//! the others. Not promised: that all change at one moment, or anything of what the module decides within a zone.
+//! Guaranteed: traffic stays in its own zone while that is safe, and only what that zone cannot carry crosses, to the nearest zone
+//! with free capacity, its own region first. No plan, and no mixture of a plan with the next, allocates more to a zone than its
+//! known capacity. Clients are refused at once, those of the least valuable class first. No minority of balancers with wrong
+//! reports or bad links makes a zone unhealthy for the others. Not guaranteed: that all balancers change plans at the same moment,
+//! or anything that the decision module decides within a zone.
 //!
-//! [`evidence`]: what one balancer's sockets show, as a digest, and what many digests say together. [`plan`]: what follows from
-//! it, by the holder of the lease [`TASK`]; it goes into the record. [`follow`]: which zone a command goes to here. docs/failover.md.
+//! [`evidence`]: the digest of one balancer's observations, and what many digests together indicate. [`plan`]: the plan, which the
+//! holder of the lease [`TASK`] makes and which is stored in the replicated state. [`follow`]: the zone that a command goes to at
+//! this balancer. See docs/failover.md.
 
 pub mod allocation;
 pub mod capacity;
@@ -18,52 +21,52 @@
 use crate::api::Micros;
 use std::collections::BTreeMap;
 
-/// The task of making the plan.
+/// Name of the leased task of making the plan.
 pub const TASK: &str = "failover";
-/// Zones and classes that a digest and a plan have at most.
+/// Maximum number of zones in a digest or a plan.
 pub const MAX_ZONES: usize = 8;
-/// See `MAX_ZONES`.
+/// Maximum number of classes in a digest or a plan.
 pub const MAX_CLASSES: usize = 8;
 
-/// The section `[failover]` of the operator's file.
+/// Settings from the section `[failover]` of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverSettings {
-    /// The region of each zone.
+    /// Region of each zone.
     pub regions: BTreeMap<String, String>,
-    /// How far it is from one zone to another where that was stated; else 1 within a region and 10 beyond.
+    /// Distances between zones that the operator states. The default is 1 within a region and 10 between regions (unitless).
     pub distances: BTreeMap<(String, String), u32>,
-    /// Connections that a server of size 1 carries when it is warm.
+    /// Number of connections that a warm server of weight 1 carries.
     pub connections_per_server: f64,
-    /// Part of a zone's room that is used.
+    /// Share of a zone's capacity that plans may use, in 0..=1.
     pub usable_share: f64,
-    /// How often a balancer tells what it sees.
+    /// Interval between two digests of a balancer.
     pub digest_interval: Micros,
-    /// A zone must fail for so long before it is left.
+    /// How long a zone must fail before traffic leaves it.
     pub failure_confirmation: Micros,
-    /// It must do well for so long before it is gone back to; twice as long for each time that it failed again.
+    /// How long a zone must be healthy before traffic returns to it; doubled for each repeated failure.
     pub recovery_confirmation: Micros,
-    /// Between two steps of a return.
+    /// Time between two steps of a return.
     pub return_step_interval: Micros,
-    /// Balancers change to another plan within this time, each at a moment of its own.
+    /// Time within which all balancers change to another plan, each after a delay of its own.
     pub changeover_window: Micros,
-    /// A plan that nobody renews is followed for so long.
+    /// How long a plan is followed without a renewal.
     pub plan_lifetime: Micros,
-    /// Standing connections of the whole fleet that are moved for the plan in a second.
+    /// Established connections per second that the whole fleet moves to follow the plan.
     pub fleet_moves_per_second: f64,
-    /// A mean set-up time past this counts as a failure.
+    /// Mean set-up time above which a zone counts as failing.
     pub slow_setup: Micros,
 }
 
 impl FailoverSettings {
-    /// From one zone to another.
+    /// Returns the distance from one zone to another (unitless): 0 within a zone.
     pub fn distance(&self, from: &str, to: &str) -> u32 {
         if from == to {
             return 0;
         }
         let key = |a: &str, b: &str| (a.to_string(), b.to_string());
-        let told = self.distances.get(&key(from, to)).or_else(|| self.distances.get(&key(to, from)));
-        let near = self.regions.get(from).is_some_and(|region| self.regions.get(to) == Some(region));
-        told.copied().unwrap_or(if near { 1 } else { 10 })
+        let stated = self.distances.get(&key(from, to)).or_else(|| self.distances.get(&key(to, from)));
+        let same_region = self.regions.get(from).is_some_and(|region| self.regions.get(to) == Some(region));
+        stated.copied().unwrap_or(if same_region { 1 } else { 10 })
     }
 }
 
--- a/src/failover/path.rs
+++ b/src/failover/path.rs
@@ -1,51 +1,52 @@
-//! Whether a zone's clients may go to a zone: closed after lasting failure, opened step by step after lasting health.
+//! The path from one zone to another: it closes after a lasting failure and opens step by step after lasting health.
 
 use super::evidence::Verdict;
 use super::FailoverSettings;
 use crate::api::Micros;
 
-/// The first step of a return; each further one is twice as much.
+/// Share of traffic in the first step of a return (unitless); each further step doubles it.
 const FIRST_RETURN_SHARE: f64 = 0.1;
-/// Closed again within so many stays, it stays closed for longer.
+/// Number of recovery periods after a change of the path within which another failure counts as repeated. A repeated failure
+/// keeps the path closed for longer.
 const REPEATED_FAILURE_PERIODS: u64 = 8;
 
-/// The path from one zone to another.
+/// State of the path from one zone to another.
 #[derive(Clone, Debug, Default)]
 pub struct Path {
-    /// It is closed since.
+    /// When the path was closed; `None` while it is open.
     pub closed_since: Option<Micros>,
-    /// It opens since.
+    /// When the path began to open step by step; `None` once it is fully open.
     pub reopening_since: Option<Micros>,
     failing_since: Option<Micros>,
     healthy_since: Option<Micros>,
-    /// When it was last closed, and how often in a short time.
+    /// When the path was last closed or last began to open.
     pub last_change: Micros,
-    /// See `last`.
+    /// Number of closures in a row, each soon after the change before it.
     pub recent_closures: u32,
 }
 
 impl Path {
-    /// Takes in what is said of it now; the part of it that is open.
+    /// Applies the current verdict and returns the open share of the path, in 0..=1.
     pub fn update(&mut self, now: Micros, verdict: Verdict, settings: &FailoverSettings) -> f64 {
-        let since = |mark: &mut Option<Micros>, on: bool| match (on, *mark) {
+        let track_since = |mark: &mut Option<Micros>, on: bool| match (on, *mark) {
             (false, _) => *mark = None,
             (true, None) => *mark = Some(now),
             (true, Some(_)) => {}
         };
-        since(&mut self.failing_since, verdict == Verdict::Bad);
-        // Where nothing goes nobody has seen a failure: a probe that is answered makes it good.
-        since(&mut self.healthy_since, verdict == Verdict::Good);
-        let long = |mark: Option<Micros>, span: Micros| mark.is_some_and(|at| now >= at + span);
-        let stay = settings.recovery_confirmation << self.recent_closures.saturating_sub(1).min(4);
+        track_since(&mut self.failing_since, verdict == Verdict::Bad);
+        // A path without traffic shows no failures, so an answered probe is enough for a good verdict.
+        track_since(&mut self.healthy_since, verdict == Verdict::Good);
+        let lasted = |mark: Option<Micros>, span: Micros| mark.is_some_and(|at| now >= at + span);
+        let recovery_period = settings.recovery_confirmation << self.recent_closures.saturating_sub(1).min(4);
         match self.closed_since {
-            None if long(self.failing_since, settings.failure_confirmation) => {
-                let again =
-                    self.recent_closures > 0 && now < self.last_change + REPEATED_FAILURE_PERIODS * stay;
+            None if lasted(self.failing_since, settings.failure_confirmation) => {
+                let repeated = self.recent_closures > 0
+                    && now < self.last_change + REPEATED_FAILURE_PERIODS * recovery_period;
                 (self.recent_closures, self.last_change) =
-                    (if again { self.recent_closures + 1 } else { 1 }, now);
+                    (if repeated { self.recent_closures + 1 } else { 1 }, now);
                 (self.closed_since, self.reopening_since) = (Some(now), None);
             }
-            Some(_) if long(self.healthy_since, stay) => {
+            Some(_) if lasted(self.healthy_since, recovery_period) => {
                 (self.closed_since, self.reopening_since, self.last_change) = (None, Some(now), now);
             }
             _ => {}
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -283,7 +283,7 @@
                 started: known(name).map_or(0, |grant| grant.started).max(digest.started),
                 overflow: overflow.collect(),
                 zone: home.unwrap_or(usize::MAX),
-                held: capacity::held(known(name), &report),
+                held: capacity::committed(known(name), &report),
                 demand,
             };
             holders.insert(name.clone(), holder);
@@ -297,7 +297,7 @@
             holders.insert(name.clone(), holder);
         }
         let capacities: Vec<u32> = rooms.iter().map(|room| room.floor() as u32).collect();
-        capacity::allot(&capacities, &holders)
+        capacity::grant_limits(&capacities, &holders)
     }
 
     /// Keeps in mind who has a grant and is not heard, for as long as it may still hold what it was granted.
