--- a/lab/src/virt/common.rs
+++ b/lab/src/virt/common.rs
@@ -28,7 +28,7 @@
             scenario.class.iter().map(|c| (c.worth, c.name.clone())).collect();
         classes.sort_by(|a, b| b.0.total_cmp(&a.0));
         let zones = scenario.zone.iter().map(|zone| zone.name.clone()).collect();
-        let tell = terms.tell;
+        let tell = terms.digest_interval;
         let planner = Planner::new(terms, zones, classes.into_iter().map(|(_, name)| name).collect());
         Ok(Some(Common { planner, plan: None, tell, told: 0 }))
     }
@@ -45,11 +45,11 @@
             if tells {
                 common.told = self.now;
                 let digest = self.nodes[n].decider.digest(self.now, &mut out);
-                digest.into_iter().for_each(|digest| common.planner.take(self.now, digest));
+                digest.into_iter().for_each(|digest| common.planner.receive_digest(self.now, digest));
             }
             self.act(n, out);
         }
-        let (put, _) = common.planner.turn(self.now, common.plan.as_ref(), &BTreeMap::new());
+        let (put, _) = common.planner.advance(self.now, common.plan.as_ref(), &BTreeMap::new());
         common.plan = put.or(common.plan);
         self.common = Some(common);
     }
--- a/src/broker/lease_tests.rs
+++ b/src/broker/lease_tests.rs
@@ -1,10 +1,10 @@
 //! Capacity leases at the send: what one balancer holds in a zone, attempts in flight included, never passes its limit.
 
-use super::super::zones::Place;
+use super::super::zones::BalancerContext;
 use super::*;
 use crate::failover;
 use crate::failover::capacity::Grant;
-use crate::failover::plan::Zone;
+use crate::failover::plan::ZonePlan;
 
 const S: Micros = 1_000_000;
 /// Hosts by zone.
@@ -29,24 +29,32 @@
     let (_, names) = env.translate().unwrap();
     let settings = Settings { classes: vec![class], peers_total: 1, zones: 2, ..Settings::default() };
     let mut core = Core::new(settings, &names, 1).unwrap();
-    let place = Place {
+    let context = BalancerContext {
         name: "n1".into(),
         started: 1,
         zone: "a".into(),
         zones: vec!["a".into(), "b".into()],
         classes: vec!["watch".into()],
-        balancers: 1,
-        ..Place::default()
+        balancer_count: 1,
+        ..BalancerContext::default()
     };
-    core.zones(failover::Terms { over: 1, ..failover::Terms::default() }, place);
+    core.zones(
+        failover::FailoverSettings { changeover_window: 1, ..failover::FailoverSettings::default() },
+        context,
+    );
     let entry = |(host, zone)| Entry { zone: Some(zone), ..Entry::ready(host) };
     let hosts = HOSTS.map(entry).to_vec();
     core.tell(S, Event::Members { kind: ListKind::Cached, hosts }, &mut Vec::new());
     let shares = vec![("a".to_string(), 1_000 - share_of_b), ("b".to_string(), share_of_b)];
     let then = second.then(|| "b".to_string());
-    let zone = Zone { shares: [("watch".to_string(), shares)].into(), then, part: 1_000, ..Zone::default() };
+    let zone = ZonePlan {
+        shares: [("watch".to_string(), shares)].into(),
+        fallback: then,
+        fallback_share: 1_000,
+        ..ZonePlan::default()
+    };
     let grant = Grant { started: 1, limits: limits.to_vec(), reserved: limits.to_vec() };
-    let zones = [("a".to_string(), zone), ("b".to_string(), Zone::default())].into();
+    let zones = [("a".to_string(), zone), ("b".to_string(), ZonePlan::default())].into();
     let plan = Plan { serial: 1, zones, grants: [("n1".to_string(), grant)].into(), ..Plan::default() };
     core.follow(S, Some(&plan));
     core.follow(S + 1, Some(&plan));
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -8,9 +8,9 @@
 
 use super::allocation::{staged_allocation, AllocationInput};
 use super::capacity::{self, Grants, Holder, Report};
-use super::evidence::{held, room, verdict, wants, Digest, Digests, Verdict};
+use super::evidence::{path_verdict, zone_capacity, zone_demand, zone_occupancy, Digest, Digests, Verdict};
 use super::path::Path;
-use super::Terms;
+use super::FailoverSettings;
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 /// How a zone's own traffic goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum ZoneState {
     /// It stays there.
     #[default]
     Near,
@@ -30,14 +30,14 @@
     Returning,
 }
 
-impl State {
+impl ZoneState {
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
-            State::Near => "near",
-            State::Spill => "spill",
-            State::Away => "away",
-            State::Returning => "returning",
+            ZoneState::Near => "near",
+            ZoneState::Spill => "spill",
+            ZoneState::Away => "away",
+            ZoneState::Returning => "returning",
         }
     }
 }
@@ -45,21 +45,25 @@
 /// What the plan says of one zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Zone {
+pub struct ZonePlan {
     /// How its own traffic goes.
-    pub state: State,
+    pub state: ZoneState,
     /// Why.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The plan that brought it into this state.
     pub since: u64,
     /// What it carries.
-    pub room: u32,
+    #[serde(rename = "room")]
+    pub capacity: u32,
     /// By class: how many thousandths go to which zone, in a fixed order. What is missing to all of them is refused.
     pub shares: BTreeMap<String, Vec<(String, u32)>>,
     /// Where whoever failed there once may be tried, and how many thousandths of all may: whichever one zone fails, they find room.
-    pub then: Option<String>,
+    #[serde(rename = "then")]
+    pub fallback: Option<String>,
     /// See `then`.
-    pub part: u32,
+    #[serde(rename = "part")]
+    pub fallback_share: u32,
 }
 
 /// A plan.
@@ -69,9 +73,10 @@
     /// Which one: each has the next number.
     pub serial: u64,
     /// How often it was renewed.
-    pub renewed: u64,
+    #[serde(rename = "renewed")]
+    pub renewals: u64,
     /// By zone.
-    pub zones: BTreeMap<String, Zone>,
+    pub zones: BTreeMap<String, ZonePlan>,
     /// How many connections each balancer may hold in each zone; none: an older program made the plan.
     #[serde(skip_serializing_if = "Grants::is_empty")]
     pub grants: Grants,
@@ -79,7 +84,7 @@
 
 impl Plan {
     /// How many connections the process of a balancer that was started then may hold in a zone; none where it is granted nothing.
-    pub fn limit(&self, balancer: &str, started: u64, zone: &str) -> Option<u32> {
+    pub fn connection_limit(&self, balancer: &str, started: u64, zone: &str) -> Option<u32> {
         let grant = self.grants.get(balancer).filter(|grant| grant.started == started)?;
         let zone = self.zones.keys().position(|name| name == zone)?;
         grant.limits.get(zone).copied()
@@ -103,14 +108,15 @@
     /// A number of its own: the same order given again counts anew.
     pub number: u64,
     /// What.
-    pub wish: Wish,
+    #[serde(rename = "wish")]
+    pub kind: OrderKind,
     /// It counts for so many milliseconds.
     pub lasts_ms: u64,
 }
 
 /// What an operator can want of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Wish {
+pub enum OrderKind {
     /// It is emptied within so many milliseconds.
     Evacuate(u64),
     /// It stays as it is, whatever is seen.
@@ -129,7 +135,7 @@
 
 /// The holder's side.
 pub struct Planner {
-    terms: Terms,
+    settings: FailoverSettings,
     zones: Vec<String>,
     /// The worthiest first.
     classes: Vec<String>,
@@ -147,38 +153,38 @@
 
 impl Planner {
     /// One for these zones, in any order, and classes, the worthiest first.
-    pub fn new(terms: Terms, mut zones: Vec<String>, classes: Vec<String>) -> Planner {
+    pub fn new(settings: FailoverSettings, mut zones: Vec<String>, classes: Vec<String>) -> Planner {
         zones.sort();
-        zones.truncate(super::ZONES);
+        zones.truncate(super::MAX_ZONES);
         let (heard, paths, orders) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (spills, silent) = (vec![false; zones.len()], BTreeMap::new());
-        let classes = classes.into_iter().take(super::CLASSES).collect();
-        Planner { terms, zones, classes, heard, paths, orders, spills, silent, begun: None, put: 0 }
+        let classes = classes.into_iter().take(super::MAX_CLASSES).collect();
+        Planner { settings, zones, classes, heard, paths, orders, spills, silent, begun: None, put: 0 }
     }
 
     /// A digest came, late, doubled or in order.
-    pub fn take(&mut self, now: Micros, digest: Digest) {
-        let age = |d: &Digest| (d.started, d.number);
+    pub fn receive_digest(&mut self, now: Micros, digest: Digest) {
+        let age = |d: &Digest| (d.started, d.sequence);
         let newer = self.heard.get(&digest.name).is_none_or(|(_, known)| age(&digest) > age(known));
-        if newer && digest.fits() && self.heard.len() < 4_096 {
+        if newer && digest.is_within_bounds() && self.heard.len() < 4_096 {
             self.heard.insert(digest.name.clone(), (now, digest));
         }
     }
 
     /// Not the holder any more: the next time it begins by listening.
-    pub fn rest(&mut self) {
+    pub fn suspend(&mut self) {
         self.begun = None;
     }
 
     /// The plan that is wanted now, where it is another than the one in the record or that one is to be renewed; orders that are over.
-    pub fn turn(
+    pub fn advance(
         &mut self,
         now: Micros,
         record: Option<&Plan>,
         orders: &BTreeMap<String, Order>,
     ) -> (Option<Plan>, Vec<String>) {
-        let terms = self.terms.clone();
-        self.heard.retain(|_, (at, _)| *at + 4 * terms.tell.max(250_000) >= now);
+        let settings = self.settings.clone();
+        self.heard.retain(|_, (at, _)| *at + 4 * settings.digest_interval.max(250_000) >= now);
         let begun = *self.begun.get_or_insert(now);
         // Paths are as the plan in force has them until something else is seen.
         if begun == now {
@@ -192,7 +198,8 @@
         // Everybody who is heard follows the last plan, and whoever is not heard follows none: two at once are enough.
         let serial = record.map_or(0, |plan| plan.serial);
         let all = digests.values().all(|d| d.follows.is_none_or(|follows| follows == serial) || serial == 0);
-        let settled = all && now >= self.put + terms.over || now >= self.put + terms.valid + terms.over;
+        let settled = all && now >= self.put + settings.changeover_window
+            || now >= self.put + settings.plan_lifetime + settings.changeover_window;
         let next = Some(()).filter(|()| settled && self.listened(now, &digests));
         let next = next.map(|()| self.plan(&input, &whys, record));
         let changed = next.filter(|next| record.is_none_or(|old| differs(old, next)));
@@ -207,8 +214,8 @@
 
     /// The same plan once more, with grants by what is known now, where it is time for that.
     fn renewal(&self, now: Micros, plan: &Plan, input: &AllocationInput, digests: &Digests) -> Option<Plan> {
-        let due = now >= self.put + self.terms.valid / 3;
-        let may = now >= self.put + self.terms.tell.max(REGRANT);
+        let due = now >= self.put + self.settings.plan_lifetime / 3;
+        let may = now >= self.put + self.settings.digest_interval.max(REGRANT);
         if !due && !may {
             return None;
         }
@@ -218,12 +225,13 @@
             false => plan.grants.clone(),
         };
         let wanted = due || self.helps_somebody(plan, &grants, digests);
-        wanted.then(|| Plan { renewed: plan.renewed + 1, grants, ..plan.clone() })
+        wanted.then(|| Plan { renewals: plan.renewals + 1, grants, ..plan.clone() })
     }
 
     /// Whether it has made plans for long enough to have heard everybody who can be heard.
     fn listened(&self, now: Micros, digests: &Digests) -> bool {
-        self.begun.is_some_and(|begun| now >= begun + 2 * self.terms.tell) && !digests.is_empty()
+        self.begun.is_some_and(|begun| now >= begun + 2 * self.settings.digest_interval)
+            && !digests.is_empty()
     }
 
     /// Whether other grants would give more to a balancer whose clients are expected to want more than it is granted, or free what
@@ -247,7 +255,7 @@
     /// By zone: what a balancer's clients want there by a plan's shares.
     fn demand(&self, plan: &Plan, digest: &Digest) -> Vec<f64> {
         let of_class = |to: &String, class: &String| {
-            f64::from(digest.wants.get(class).copied().unwrap_or_default())
+            f64::from(digest.demand.get(class).copied().unwrap_or_default())
                 * plan.share(&digest.zone, class, to)
         };
         self.zones.iter().map(|to| self.classes.iter().map(|class| of_class(to, class)).sum()).collect()
@@ -260,22 +268,22 @@
         for (name, digest) in digests {
             let demand = self.demand(plan, digest);
             let own = plan.zones.get(&digest.zone);
-            let second = own.and_then(|zone| zone.then.as_ref());
-            let part = own.map_or(0.0, |zone| f64::from(zone.part) / 1e3);
+            let second = own.and_then(|zone| zone.fallback.as_ref());
+            let part = own.map_or(0.0, |zone| f64::from(zone.fallback_share) / 1e3);
             let home = self.zones.iter().position(|zone| *zone == digest.zone);
             let at_home = home.map_or(0.0, |home| demand[home]);
             let overflow = self.zones.iter().map(|to| if second == Some(to) { part * at_home } else { 0.0 });
             let used = self.zones.iter().map(|zone| digest.zones.get(zone).map_or(0, |seen| seen.held()));
             let used: Vec<u32> = used.collect();
             let acknowledges = record.is_some_and(|plan| {
-                digest.follows == Some(plan.serial) && digest.renewal == Some(plan.renewed)
+                digest.follows == Some(plan.serial) && digest.renewal == Some(plan.renewals)
             });
             let report = Report { started: digest.started, acknowledges, used: &used };
             let holder = Holder {
                 started: known(name).map_or(0, |grant| grant.started).max(digest.started),
                 overflow: overflow.collect(),
                 zone: home.unwrap_or(usize::MAX),
-                held: capacity::held(known(name), &report),
+                held: capacity::committed(known(name), &report),
                 demand,
             };
             holders.insert(name.clone(), holder);
@@ -289,7 +297,7 @@
             holders.insert(name.clone(), holder);
         }
         let capacities: Vec<u32> = rooms.iter().map(|room| room.floor() as u32).collect();
-        capacity::allot(&capacities, &holders)
+        capacity::grant_limits(&capacities, &holders)
     }
 
     /// Keeps in mind who has a grant and is not heard, for as long as it may still hold what it was granted.
@@ -300,7 +308,7 @@
         for name in silent {
             self.silent.entry(name).or_insert(now);
         }
-        let kept = RESERVED_LIFETIMES * self.terms.valid;
+        let kept = RESERVED_LIFETIMES * self.settings.plan_lifetime;
         self.silent.retain(|_, since| now < *since + kept);
     }
 
@@ -308,16 +316,18 @@
     fn resume(&mut self, now: Micros, record: Option<&Plan>) {
         let Some(plan) = record else { return };
         for (z, name) in self.zones.iter().enumerate() {
-            let state = plan.zones.get(name).map_or(State::Near, |zone| zone.state);
-            let way = self.paths.entry((z, z)).or_default();
+            let state = plan.zones.get(name).map_or(ZoneState::Near, |zone| zone.state);
+            let path = self.paths.entry((z, z)).or_default();
             match state {
-                State::Away if way.closed.is_none() => {
-                    (way.closed, way.times, way.last) = (Some(now), way.times.max(1), now)
+                ZoneState::Away if path.closed_since.is_none() => {
+                    (path.closed_since, path.recent_closures, path.last_change) =
+                        (Some(now), path.recent_closures.max(1), now)
                 }
-                State::Returning if way.opens.is_none() && way.closed.is_none() => {
-                    (way.opens, way.times, way.last) = (Some(now), way.times.max(1), now);
+                ZoneState::Returning if path.reopening_since.is_none() && path.closed_since.is_none() => {
+                    (path.reopening_since, path.recent_closures, path.last_change) =
+                        (Some(now), path.recent_closures.max(1), now);
                 }
-                State::Spill => self.spills[z] = true,
+                ZoneState::Spill => self.spills[z] = true,
                 _ => {}
             }
         }
@@ -343,22 +353,24 @@
         orders: &BTreeMap<String, Order>,
         record: Option<&Plan>,
     ) -> (AllocationInput, Vec<(bool, String)>) {
-        let (n, terms) = (self.zones.len(), self.terms.clone());
+        let (n, settings) = (self.zones.len(), self.settings.clone());
         let mut open = vec![vec![1.0; n]; n];
         let mut whys = vec![(false, String::new()); n];
         for (f, t) in (0..n).flat_map(|f| (0..n).map(move |t| (f, t))) {
-            let said = match verdict(digests, &self.zones[f], &self.zones[t], &terms) {
+            let said = match path_verdict(digests, &self.zones[f], &self.zones[t], &settings) {
                 // Of a way that nobody goes, those say most who are there.
-                Verdict::Unknown if f != t => verdict(digests, &self.zones[t], &self.zones[t], &terms),
+                Verdict::Unknown if f != t => {
+                    path_verdict(digests, &self.zones[t], &self.zones[t], &settings)
+                }
                 said => said,
             };
-            let way = self.paths.entry((f, t)).or_default();
-            let level = way.turn(now, said, &terms);
+            let path = self.paths.entry((f, t)).or_default();
+            let level = path.update(now, said, &settings);
             open[f][t] = level;
             if f == t && level < 1.0 {
                 whys[f].1 = match level == 0.0 {
-                    true if way.times > 1 => {
-                        format!("its balancers see it fail, for the {}th time lately", way.times)
+                    true if path.recent_closures > 1 => {
+                        format!("its balancers see it fail, for the {}th time lately", path.recent_closures)
                     }
                     true => "its balancers see it fail".into(),
                     false => format!("it does well again: {:.0}% of the way back", 100.0 * level),
@@ -374,32 +386,38 @@
             if seen.2.is_nan() {
                 seen.2 = open[z][z];
             }
-            let level = match order.wish {
-                Wish::Evacuate(over) => {
+            let level = match order.kind {
+                OrderKind::Evacuate(over) => {
                     let gone = (now - seen.1) as f64 / (over.max(1) * 1_000) as f64;
                     // In steps, so that it is not another plan each second.
                     (1.0 - (gone * 10.0).floor() / 10.0).max(0.0)
                 }
-                Wish::Hold => seen.2,
+                OrderKind::Hold => seen.2,
             };
             for row in open.iter_mut() {
-                row[z] = match order.wish {
-                    Wish::Evacuate(_) => row[z].min(level),
-                    Wish::Hold => level,
+                row[z] = match order.kind {
+                    OrderKind::Evacuate(_) => row[z].min(level),
+                    OrderKind::Hold => level,
                 };
             }
-            let what = if matches!(order.wish, Wish::Hold) { "held" } else { "evacuated" };
+            let what = if matches!(order.kind, OrderKind::Hold) { "held" } else { "evacuated" };
             whys[z] = (true, format!("{what} by an operator"));
         }
-        let ask = |zone: &String| self.classes.iter().map(|class| wants(digests, zone, class)).collect();
+        let ask =
+            |zone: &String| self.classes.iter().map(|class| zone_demand(digests, zone, class)).collect();
         let all: Vec<Vec<f64>> = self.zones.iter().map(ask).collect();
-        let rooms: Vec<f64> = self.zones.iter().map(|zone| terms.fill * room(digests, zone)).collect();
+        let rooms: Vec<f64> =
+            self.zones.iter().map(|zone| settings.usable_share * zone_capacity(digests, zone)).collect();
         let reserved = |zone: usize| {
             let grants = self.silent.keys().filter_map(|name| record?.grants.get(name));
             grants.filter_map(|grant| grant.reserved.get(zone)).map(|n| f64::from(*n)).sum::<f64>()
         };
-        let stands: Vec<f64> =
-            self.zones.iter().enumerate().map(|(z, zone)| held(digests, zone) + reserved(z)).collect();
+        let stands: Vec<f64> = self
+            .zones
+            .iter()
+            .enumerate()
+            .map(|(z, zone)| zone_occupancy(digests, zone) + reserved(z))
+            .collect();
         let before = record.map_or(Vec::new(), |plan| {
             let amount = |f: usize, c: usize, t: usize| {
                 all[f][c] * plan.share(&self.zones[f], &self.classes[c], &self.zones[t])
@@ -423,7 +441,7 @@
     }
 
     fn plan(&mut self, q: &AllocationInput, whys: &[(bool, String)], record: Option<&Plan>) -> Plan {
-        let (n, terms) = (q.zones.len(), &self.terms);
+        let (n, settings) = (q.zones.len(), &self.settings);
         let mut input = q.clone();
         let want = |f: usize| q.demand[f].iter().sum::<f64>();
         // One that spills goes on until it has room to spare, so that it does not change with every client.
@@ -434,7 +452,7 @@
                 input.open[z][z] = (SPILL * q.capacity[z] / want(z)).min(1.0);
             }
         }
-        let distance = |f: usize, t: usize| terms.distance(&q.zones[f], &q.zones[t]);
+        let distance = |f: usize, t: usize| settings.distance(&q.zones[f], &q.zones[t]);
         let amounts = staged_allocation(&input, distance);
         let given = |t: usize| amounts.iter().flatten().map(|to| to[t]).sum::<f64>();
         let serial = record.map_or(0, |plan| plan.serial) + 1;
@@ -478,24 +496,27 @@
             let shares: BTreeMap<String, Vec<(String, u32)>> = shares.collect();
             let kept = amounts[f].iter().map(|to| to[f]).sum::<f64>();
             let state = match q.open[f][f] {
-                0.0 => State::Away,
-                open if open < 1.0 => State::Returning,
-                _ if self.spills[f] || kept < 0.95 * want => State::Spill,
-                _ => State::Near,
+                0.0 => ZoneState::Away,
+                open if open < 1.0 => ZoneState::Returning,
+                _ if self.spills[f] || kept < 0.95 * want => ZoneState::Spill,
+                _ => ZoneState::Near,
             };
             let was = record.and_then(|plan| plan.zones.get(&q.zones[f]));
             let since = was.filter(|was| was.state == state).map_or(serial, |was| was.since);
-            let why = match (&whys[f], state) {
+            let reason = match (&whys[f], state) {
                 ((_, why), _) if !why.is_empty() => why.clone(),
-                (_, State::Spill) => format!("{want:.0} wanted, room for {:.0}", q.capacity[f]),
+                (_, ZoneState::Spill) => format!("{want:.0} wanted, room for {:.0}", q.capacity[f]),
                 _ => "it carries what it is asked for".into(),
             };
-            let room = q.capacity[f] as u32;
-            let part = then[f].map_or(0, |t| (tried(t) * 1e3) as u32);
-            let then = then[f].map(|t| q.zones[t].clone());
-            zones.insert(q.zones[f].clone(), Zone { state, why, since, room, shares, then, part });
+            let capacity = q.capacity[f] as u32;
+            let fallback_share = then[f].map_or(0, |t| (tried(t) * 1e3) as u32);
+            let fallback = then[f].map(|t| q.zones[t].clone());
+            zones.insert(
+                q.zones[f].clone(),
+                ZonePlan { state, reason, since, capacity, shares, fallback, fallback_share },
+            );
         }
-        Plan { serial, renewed: 0, zones, grants: Grants::new() }
+        Plan { serial, renewals: 0, zones, grants: Grants::new() }
     }
 
     /// Who is heard, and which plan each follows.
@@ -516,7 +537,7 @@
                     .iter()
                     .map(|(to, _)| (old.share(name, class, to) - new.share(name, class, to)).abs());
                 let sum =
-                    |zone: &Zone| zone.shares.get(class).into_iter().flatten().map(|s| s.1).sum::<u32>();
+                    |zone: &ZonePlan| zone.shares.get(class).into_iter().flatten().map(|s| s.1).sum::<u32>();
                 told.fold(f64::from(sum(was).abs_diff(sum(zone))) / 1e3, f64::max) > BAND
             };
             was.state != zone.state || zone.shares.iter().any(share)
