--- a/src/group/duties.rs
+++ b/src/group/duties.rs
@@ -49,7 +49,7 @@
             return;
         };
         self.paged = now;
-        let page = self.record().pages + 1;
+        let page = self.record().last_page + 1;
         let command = Command::Page { task: ACCOUNT.into(), token, page };
         self.wish(Wish::Change(command), Some(Asked::Page(page)));
     }
--- a/src/group/folder.rs
+++ b/src/group/folder.rs
@@ -37,14 +37,14 @@
 
 impl Kept {
     /// That of a voter of a new group: all of them begin with the same record.
-    pub fn founder(whose: &str, voters: &[String]) -> Kept {
-        let seats = voters.iter().map(|name| (number(name), name.clone())).collect();
-        let state = State { version: 1, seats, ..State::default() };
+    pub fn founder(whose: &str, names: &[String]) -> Kept {
+        let voters = names.iter().map(|name| (number(name), name.clone())).collect();
+        let state = State { version: 1, voters, ..State::default() };
         let mut snapshot = Snapshot::default();
         snapshot.mut_metadata().index = 1;
         snapshot.mut_metadata().term = 1;
-        snapshot.mut_metadata().mut_conf_state().voters = state.seats.keys().copied().collect();
-        snapshot.data = state.write().into();
+        snapshot.mut_metadata().mut_conf_state().voters = state.voters.keys().copied().collect();
+        snapshot.data = state.encode().into();
         let hard = HardState { term: 1, commit: 1, ..HardState::default() };
         Kept { id: number(whose), instead: None, entries: Vec::new(), hard, snapshot }
     }
--- a/src/group/lease_model.rs
+++ b/src/group/lease_model.rs
@@ -74,7 +74,7 @@
         // It asks if it is due; not to ask is to be stopped.
         let mut world = w.clone();
         if let Some((id, command)) = world.holders[i].turn(now) {
-            let text = String::from_utf8(command.write()).unwrap();
+            let text = String::from_utf8(command.encode()).unwrap();
             world.out.push(Message::Ask(i, id, text));
             push(world);
         }
@@ -105,7 +105,7 @@
             }
             match message {
                 Message::Ask(i, id, text) => {
-                    let outcome = world.state.apply(&Command::read(text.as_bytes()).unwrap());
+                    let outcome = world.state.apply(&Command::decode(text.as_bytes()).unwrap());
                     world.watch.turn(leader_clock(w.ticks), &terms, &world.state.clone());
                     world.out.push(Message::Answer(*i, *id, serde_json::to_string(&outcome).unwrap()));
                 }
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -265,8 +265,8 @@
             }
             Reply::Record(state) if state.version > self.heard.version => {
                 // The voters are those of the record, whatever the file says.
-                if !state.seats.is_empty() {
-                    self.voters = state.seats.values().cloned().collect();
+                if !state.voters.is_empty() {
+                    self.voters = state.voters.values().cloned().collect();
                 }
                 self.heard = state;
             }
@@ -516,7 +516,7 @@
         for m in self.peers.members() {
             let (drains, voter) = (
                 if m.drains { " drains" } else { "" },
-                if self.record().seats.values().any(|name| *name == m.name) { " voter" } else { "" },
+                if self.record().voters.values().any(|name| *name == m.name) { " voter" } else { "" },
             );
             let _ = write!(
                 text,
@@ -530,7 +530,7 @@
             let _ = write!(text, "place {}\r\n", if voter.seated() { "ours" } else { "asked for" });
         }
         let record = self.record();
-        let (version, tokens, pages) = (record.version, record.tokens, record.pages);
+        let (version, tokens, pages) = (record.version, record.last_token, record.last_page);
         let _ = write!(text, "record version={version} tokens={tokens} pages={pages}\r\n");
         for (task, lease) in &record.leases {
             let holder = lease.holder.as_deref().map_or("none", |h| h.split('#').next().unwrap_or(h));
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -105,9 +105,9 @@
             _ => None,
         });
         // One lets go: how long until everybody knows of the next.
-        let (now, token) = (net.now, net.all[0].record().tokens);
+        let (now, token) = (net.now, net.all[0].record().last_token);
         net.all[holder.unwrap()].give_back(now, "rebalance");
-        let whole = |net: &Net| net.all.iter().all(|m| m.record().tokens > token);
+        let whole = |net: &Net| net.all.iter().all(|m| m.record().last_token > token);
         while !whole(&net) {
             assert!(net.now < now + 20 * SECOND, "{n}: not all have heard");
             net.run(50_000);
@@ -124,14 +124,14 @@
 fn what_a_voter_proposes_is_decided_also_where_it_does_not_lead() {
     let mut net = Net::new(5, 3);
     net.run(10 * SECOND);
-    let mut proposed = net.all[0].record().ordered;
+    let mut proposed = net.all[0].record().last_order;
     for round in 0..40 {
         for i in 0..3 {
             net.all[i].order("z", Some(crate::failover::plan::Wish::Hold), 1_000);
             proposed += 1;
             net.run(350_000);
             assert_eq!(
-                net.all[i].record().ordered,
+                net.all[i].record().last_order,
                 proposed,
                 "round {round}: n{i} asks {:?}",
                 net.all[i].asks()
--- a/src/group/record.rs
+++ b/src/group/record.rs
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 
 /// A task's name, and a holder's, are no longer than this.
-pub const LONGEST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// So many tasks are known at most.
-pub const TASKS: usize = 8;
+pub const MAX_TASKS: usize = 8;
 
 /// A lease on a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -34,19 +34,23 @@
     /// How often it has changed for those who watch it: a renewal is for the leader alone.
     pub version: u64,
     /// The highest token given.
-    pub tokens: u64,
+    #[serde(rename = "tokens")]
+    pub last_token: u64,
     /// By task.
     pub leases: BTreeMap<String, Lease>,
     /// The voters: one number for each folder that was ever let in, and whose it is.
-    pub seats: BTreeMap<u64, String>,
+    #[serde(rename = "seats")]
+    pub voters: BTreeMap<u64, String>,
     /// Pages of the fleet's account that were begun.
-    pub pages: u64,
+    #[serde(rename = "pages")]
+    pub last_page: u64,
     /// The plan for zones.
     pub plan: Option<Plan>,
     /// What operators want of zones, and how many orders there were.
     pub orders: BTreeMap<String, Order>,
     /// See `orders`.
-    pub ordered: u64,
+    #[serde(rename = "ordered")]
+    pub last_order: u64,
 }
 
 /// A change that is asked for.
@@ -134,26 +138,26 @@
 impl State {
     /// Changes the state by one command.
     pub fn apply(&mut self, command: &Command) -> Outcome {
-        let tokens = self.tokens;
-        let outcome = self.change(command);
-        if outcome == Outcome::Done || self.tokens > tokens {
+        let tokens = self.last_token;
+        let outcome = self.transition(command);
+        if outcome == Outcome::Done || self.last_token > tokens {
             self.version += 1;
         }
         outcome
     }
 
     /// The voters are these from now on; a new one is called so.
-    pub fn seat(&mut self, ids: &[u64], new: Option<(u64, String)>) {
-        self.seats.extend(new);
-        self.seats.retain(|id, _| ids.contains(id));
+    pub fn set_voters(&mut self, ids: &[u64], new: Option<(u64, String)>) {
+        self.voters.extend(new);
+        self.voters.retain(|id, _| ids.contains(id));
         self.version += 1;
     }
 
-    fn change(&mut self, command: &Command) -> Outcome {
+    fn transition(&mut self, command: &Command) -> Outcome {
         match command {
             Command::Acquire { task, holder } => {
-                let full = self.leases.len() >= TASKS && !self.leases.contains_key(task);
-                let named = |text: &str| !text.is_empty() && text.len() <= LONGEST;
+                let full = self.leases.len() >= MAX_TASKS && !self.leases.contains_key(task);
+                let named = |text: &str| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
                 if full || !named(task) || !named(holder) {
                     return Outcome::Stale;
                 }
@@ -162,28 +166,29 @@
                     Some(other) if other != holder => return Outcome::Held(other.clone()),
                     Some(_) => {}
                     None => {
-                        self.tokens += 1;
-                        (lease.holder, lease.token, lease.renewals) = (Some(holder.clone()), self.tokens, 0);
+                        self.last_token += 1;
+                        (lease.holder, lease.token, lease.renewals) =
+                            (Some(holder.clone()), self.last_token, 0);
                     }
                 }
                 lease.renewals += 1;
                 Outcome::Granted(lease.token)
             }
-            Command::Renew { task, token } => match self.held(task, *token) {
+            Command::Renew { task, token } => match self.current_lease(task, *token) {
                 Some(lease) => {
                     lease.renewals += 1;
                     Outcome::Granted(*token)
                 }
                 None => Outcome::Stale,
             },
-            Command::Return { task, token } => match self.held(task, *token) {
+            Command::Return { task, token } => match self.current_lease(task, *token) {
                 Some(lease) => {
                     lease.holder = None;
                     Outcome::Done
                 }
                 None => Outcome::Stale,
             },
-            Command::Free { task, token, renewals } => match self.held(task, *token) {
+            Command::Free { task, token, renewals } => match self.current_lease(task, *token) {
                 Some(lease) if lease.renewals == *renewals => {
                     lease.holder = None;
                     Outcome::Done
@@ -191,17 +196,17 @@
                 _ => Outcome::Stale,
             },
             Command::Page { task, token, page } => {
-                if *page != self.pages + 1 || self.held(task, *token).is_none() {
+                if *page != self.last_page + 1 || self.current_lease(task, *token).is_none() {
                     return Outcome::Stale;
                 }
-                self.pages = *page;
+                self.last_page = *page;
                 Outcome::Done
             }
             Command::Plan { task, token, plan } => {
                 let (serial, renewed) = self.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewed));
                 let next = (plan.serial, plan.renewed) == (serial + 1, 0);
                 let again = self.plan.is_some() && (plan.serial, plan.renewed) == (serial, renewed + 1);
-                if !next && !again || plan.zones.len() > ZONES || self.held(task, *token).is_none() {
+                if !next && !again || plan.zones.len() > ZONES || self.current_lease(task, *token).is_none() {
                     return Outcome::Stale;
                 }
                 self.plan = Some(plan.clone());
@@ -210,11 +215,12 @@
             Command::Order { zone, wish, lasts_ms } => {
                 let full = self.orders.len() >= ZONES && !self.orders.contains_key(zone);
                 match wish {
-                    _ if zone.is_empty() || zone.len() > LONGEST => return Outcome::Stale,
+                    _ if zone.is_empty() || zone.len() > MAX_NAME_BYTES => return Outcome::Stale,
                     Some(_) if full => return Outcome::Stale,
                     Some(wish) => {
-                        self.ordered += 1;
-                        let order = Order { number: self.ordered, wish: wish.clone(), lasts_ms: *lasts_ms };
+                        self.last_order += 1;
+                        let order =
+                            Order { number: self.last_order, wish: wish.clone(), lasts_ms: *lasts_ms };
                         self.orders.insert(zone.clone(), order);
                     }
                     None if self.orders.remove(zone).is_none() => return Outcome::Stale,
@@ -232,29 +238,29 @@
         }
     }
 
-    fn held(&mut self, task: &str, token: u64) -> Option<&mut Lease> {
+    fn current_lease(&mut self, task: &str, token: u64) -> Option<&mut Lease> {
         self.leases.get_mut(task).filter(|lease| lease.holder.is_some() && lease.token == token)
     }
 
     /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
     /// From bytes.
-    pub fn read(bytes: &[u8]) -> Option<State> {
+    pub fn decode(bytes: &[u8]) -> Option<State> {
         serde_json::from_slice(bytes).ok()
     }
 }
 
 impl Command {
     /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
     /// From bytes.
-    pub fn read(bytes: &[u8]) -> Option<Command> {
+    pub fn decode(bytes: &[u8]) -> Option<Command> {
         serde_json::from_slice(bytes).ok()
     }
 }
@@ -305,7 +311,7 @@
             for command in commands {
                 let before = state.clone();
                 let outcome = state.apply(&command);
-                prop_assert!(state.tokens >= before.tokens);
+                prop_assert!(state.last_token >= before.last_token);
                 // Whatever changes but a renewal is a new version.
                 let told = |state: &State| {
                     let mut state = state.clone();
@@ -313,22 +319,22 @@
                     state
                 };
                 prop_assert_eq!(state.version > before.version, told(&state) != told(&before));
-                prop_assert!(state.pages == before.pages || state.pages == before.pages + 1);
+                prop_assert!(state.last_page == before.last_page || state.last_page == before.last_page + 1);
                 let age = |state: &State| state.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewed));
                 prop_assert!(age(&state) >= age(&before), "a plan that falls");
                 if let (Command::Acquire { task, holder }, Outcome::Granted(token)) = (&command, &outcome) {
                     let to = (task.clone(), holder.clone());
                     prop_assert_eq!(given.entry(*token).or_insert(to.clone()), &to);
                 }
-                prop_assert_eq!(State::read(&state.write()), Some(state.clone()));
-                prop_assert_eq!(Command::read(&command.write()), Some(command));
+                prop_assert_eq!(State::decode(&state.encode()), Some(state.clone()));
+                prop_assert_eq!(Command::decode(&command.encode()), Some(command));
             }
         }
 
         /// Guards against a panic on bytes that somebody made up.
         #[test]
         fn junk_is_no_state_and_no_command(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-            let _ = (State::read(&bytes), Command::read(&bytes));
+            let _ = (State::decode(&bytes), Command::decode(&bytes));
         }
     }
 
@@ -336,8 +342,8 @@
     #[test]
     fn what_a_neighbour_adds_is_passed_over_and_what_it_lacks_is_the_usual() {
         let newer = br#"{"version":3,"tokens":2,"plans":[1],"leases":{"a":{"holder":"x","token":2,"renewals":1,"by":7}}}"#;
-        let state = State::read(newer).unwrap();
+        let state = State::decode(newer).unwrap();
         assert_eq!((state.version, state.leases["a"].token), (3, 2));
-        assert_eq!(State::read(b"{}"), Some(State::default()));
+        assert_eq!(State::decode(b"{}"), Some(State::default()));
     }
 }
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -33,7 +33,7 @@
 /// Datagrams that are read before the next turn, at most: a flood of them does not hold up clients for more than milliseconds.
 const BATCH: usize = 128;
 /// What stands before the membership's own words in a datagram, at most.
-const HEAD: usize = 2 + record::LONGEST + 8;
+const HEAD: usize = 2 + record::MAX_NAME_BYTES + 8;
 /// The target of what the maker of plans was told; `oakdeal zones plan` reads it.
 pub const EVIDENCE: &str = "oakdeal::evidence";
 /// Between two reports for the fleet's account, in microseconds.
--- a/src/group/voter.rs
+++ b/src/group/voter.rs
@@ -196,7 +196,7 @@
         {
             let mut log = memory.wl();
             if kept.snapshot.get_metadata().index > 0 {
-                state = State::read(&kept.snapshot.data)
+                state = State::decode(&kept.snapshot.data)
                     .ok_or("its snapshot cannot be read: a newer program wrote it")?;
                 applied = kept.snapshot.get_metadata().index;
                 log.apply_snapshot(kept.snapshot.clone()).map_err(told)?;
@@ -269,7 +269,7 @@
     }
 
     fn name(&self, id: u64) -> Option<&str> {
-        self.state.seats.get(&id).or_else(|| self.book.get(&id)).map(String::as_str)
+        self.state.voters.get(&id).or_else(|| self.book.get(&id)).map(String::as_str)
     }
 
     /// Who leads, as far as it knows, and the term.
@@ -280,7 +280,7 @@
     /// Another takes over, if one can.
     pub fn step_down(&mut self) -> bool {
         let me = self.node.raft.id;
-        let all = self.state.seats.keys().copied();
+        let all = self.state.voters.keys().copied();
         let matched = |id: &u64| self.node.raft.prs().get(*id).map_or(0, |progress| progress.matched);
         let (other, leads) = (all.filter(|&id| id != me).max_by_key(matched), self.leads());
         other.filter(|_| leads).into_iter().for_each(|id| self.node.transfer_leader(id));
@@ -347,7 +347,7 @@
     fn let_in(&mut self, beacon: &Beacon) {
         let Some(instead) = beacon.instead.as_ref().filter(|_| self.leads()) else { return };
         let had = |(_, name): &(&u64, &String)| *name == instead;
-        let (seats, me) = (&self.state.seats, self.node.raft.id);
+        let (seats, me) = (&self.state.voters, self.node.raft.id);
         let twice = seats.contains_key(&beacon.id)
             || instead != &beacon.name && seats.values().any(|name| *name == beacon.name);
         let Some(&old) = seats.iter().find(had).map(|(id, _)| id).filter(|&&id| id != me && !twice) else {
@@ -376,7 +376,7 @@
     fn propose(&mut self, command: &Command, from: Option<(String, u64)>) -> bool {
         self.proposed += 1;
         let mark = self.proposed.to_le_bytes().to_vec();
-        let taken = self.node.propose(mark, command.write()).is_ok();
+        let taken = self.node.propose(mark, command.encode()).is_ok();
         if let Some(from) = from.filter(|_| taken) {
             self.waits.insert(self.proposed, from);
             // Whoever has not been answered by then asks again.
@@ -393,7 +393,7 @@
         if now >= self.told + every {
             self.told = now;
             let (me, beacon) = (self.node.raft.id, self.own());
-            let known = self.state.seats.iter().chain(&self.book).filter(|(id, _)| **id != me);
+            let known = self.state.voters.iter().chain(&self.book).filter(|(id, _)| **id != me);
             let names = known.map(|(_, name)| name).filter(|name| **name != self.me);
             let mut names: Vec<&String> = names.chain(&self.others).collect();
             names.sort();
@@ -403,7 +403,7 @@
         }
         if let Some(answered) = &self.answered {
             // With itself these are a majority; one that has no place yet has promised nobody anything.
-            let seats = &self.state.seats;
+            let seats = &self.state.voters;
             let voters = answered.iter().filter(|id| seats.contains_key(id)).count();
             if seats.is_empty() || voters >= seats.len() / 2 {
                 self.answered = None;
@@ -528,7 +528,7 @@
     }
 
     fn take_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), String> {
-        self.state = State::read(&snapshot.data).ok_or("a snapshot came that cannot be read")?;
+        self.state = State::decode(&snapshot.data).ok_or("a snapshot came that cannot be read")?;
         self.applied = snapshot.get_metadata().index;
         let store = self.node.mut_store();
         store.memory.wl().apply_snapshot(snapshot.clone()).map_err(|e| e.to_string())?;
@@ -583,7 +583,7 @@
                 self.reseat(&entry)?;
             } else if !entry.data.is_empty() {
                 // To pass over what the others apply would be another record than theirs.
-                let command = Command::read(&entry.data);
+                let command = Command::decode(&entry.data);
                 let command = command.ok_or("a newer program decided what this one cannot read")?;
                 let outcome = self.state.apply(&command);
                 let mark = <[u8; 8]>::try_from(&entry.context[..]).map(u64::from_le_bytes);
@@ -607,7 +607,7 @@
         let new = change.get_changes().iter().find(|c| c.get_change_type() == ConfChangeType::AddNode);
         let name = String::from_utf8_lossy(&change.context).into_owned();
         let ids: Vec<u64> = conf.voters.iter().chain(&conf.voters_outgoing).copied().collect();
-        self.state.seat(&ids, new.map(|new| (new.node_id, name)));
+        self.state.set_voters(&ids, new.map(|new| (new.node_id, name)));
         self.node.store().memory.wl().set_conf_state(conf);
         // Whoever is new begins with a record that names it.
         self.cut()
@@ -616,13 +616,13 @@
     /// Whether its folder is among the voters, and those of the change before it are needed no more.
     pub fn seated(&self) -> bool {
         let over = self.node.raft.prs().conf().to_conf_state().voters_outgoing.is_empty();
-        over && self.state.seats.contains_key(&self.node.raft.id)
+        over && self.state.voters.contains_key(&self.node.raft.id)
     }
 
     /// Whether another has its place now, by a record that is as late as its own or later.
     pub fn replaced(&self, record: &State) -> bool {
         let had = self.instead.is_none() || self.seated();
-        had && record.version >= self.state.version && !record.seats.contains_key(&self.node.raft.id)
+        had && record.version >= self.state.version && !record.voters.contains_key(&self.node.raft.id)
     }
 
     fn cut(&mut self) -> Result<(), String> {
@@ -631,7 +631,7 @@
         snapshot.mut_metadata().index = self.applied;
         snapshot.mut_metadata().term = self.node.store().term(self.applied).map_err(told)?;
         *snapshot.mut_metadata().mut_conf_state() = self.node.raft.prs().conf().to_conf_state();
-        snapshot.data = self.state.write().into();
+        snapshot.data = self.state.encode().into();
         self.save(Save { snapshot: Some(&snapshot), ..Save::default() })?;
         let store = self.node.mut_store();
         store.memory.wl().compact(self.applied).map_err(told)?;
--- a/src/group/voter_search.rs
+++ b/src/group/voter_search.rs
@@ -28,7 +28,7 @@
         let seats = |i: usize| {
             net.voters[i]
                 .as_ref()
-                .is_some_and(|v| v.state().seats.contains_key(&id) && v.state().seats.len() == 3)
+                .is_some_and(|v| v.state().voters.contains_key(&id) && v.state().voters.len() == 3)
         };
         (0..3).all(seats)
     });
--- a/src/group/voter_tests.rs
+++ b/src/group/voter_tests.rs
@@ -252,8 +252,8 @@
     }
     assert!(net.kept[net.leader().unwrap()].0.borrow().0.entries.len() <= 2 * CUT as usize);
     net.start(away);
-    let whole = net.voters[net.leader().unwrap()].as_ref().unwrap().state().tokens;
-    net.until("the snapshot", |net| net.voters[away].as_ref().unwrap().state().tokens == whole);
+    let whole = net.voters[net.leader().unwrap()].as_ref().unwrap().state().last_token;
+    net.until("the snapshot", |net| net.voters[away].as_ref().unwrap().state().last_token == whole);
 }
 
 /// Guards against a voter that goes on after its folder failed, and against a minority that decides.
@@ -400,7 +400,7 @@
             now += TICK;
             voter.turn(now).unwrap();
         }
-        assert_eq!(voter.state().tokens, granted, "round {round}");
+        assert_eq!(voter.state().last_token, granted, "round {round}");
         assert!(voter.ask("me", 1, &acquire("x")));
         voter.turn(now).unwrap();
         let Some(lease) = voter.state().leases.get("t").cloned() else { panic!("not decided") };
--- a/src/group/words.rs
+++ b/src/group/words.rs
@@ -1,7 +1,7 @@
 //! What members say to each other in datagrams: gossip, the voters' messages, questions and answers, acts under a lease, and
 //! reports for the fleet's account. What is too long for one datagram goes in parts.
 
-use super::record::{Command, Outcome, State, LONGEST};
+use super::record::{Command, Outcome, State, MAX_NAME_BYTES};
 use super::voter::Beacon;
 use crate::contracts::row::Row;
 use crate::failover::evidence::Digest;
@@ -120,7 +120,7 @@
         let json = |kind: u8, text: Result<Vec<u8>, serde_json::Error>| (kind, text.unwrap_or_default());
         let (kind, bytes) = match self {
             Words::Gossip { from, version, bytes } => {
-                let from = &from.as_bytes()[..from.len().min(LONGEST)];
+                let from = &from.as_bytes()[..from.len().min(MAX_NAME_BYTES)];
                 (b'g', [&[from.len() as u8], from, &version.to_le_bytes()[..], bytes].concat())
             }
             Words::Beacon(beacon) => json(b'b', serde_json::to_vec(beacon)),
