--- a/src/group/lease.rs
+++ b/src/group/lease.rs
@@ -3,7 +3,7 @@
 //! Assumed: clocks run within `drift` of true time, also while the machine sleeps. *To act* is to begin something under a
 //! lease. Promised, by the clock alone: no two holders may begin to act at the same moment. A holder that is stopped between
 //! its look at the clock and its act acts late whatever the clock says: against that whoever carries the act out asks the
-//! [`Gate`], which refuses a token under the highest it has seen. A holder counts from before it asked; the leader frees
+//! [`TokenFence`], which refuses a token under the highest it has seen. A holder counts from before it asked; the leader frees
 //! only after the span and the drift of both clocks, and a new leader counts from the moment when it leads.
 
 use super::record::{Command, Outcome, State};
@@ -12,24 +12,24 @@
 
 /// How leases run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// How long a holder may act after it asked.
-    pub span: Micros,
+    pub duration: Micros,
     /// How far a clock may run from true time, in millionths.
-    pub drift: u64,
+    pub drift_ppm: u64,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// How long the leader waits, by its own clock: the holder's may be slow and its own fast.
-    pub fn wait(&self) -> Micros {
-        (self.span * (1_000_000 + self.drift)).div_ceil(1_000_000 - self.drift)
+    pub fn expiry_wait(&self) -> Micros {
+        (self.duration * (1_000_000 + self.drift_ppm)).div_ceil(1_000_000 - self.drift_ppm)
     }
 }
 
 /// The side of somebody who wants a task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
-    terms: Terms,
+pub struct LeaseClient {
+    terms: LeaseTerms,
     task: String,
     me: String,
     /// What was asked and not yet answered, and when.
@@ -43,10 +43,10 @@
 /// Questions that are out at most; an answer to an older one is passed over.
 const OUT: usize = 4;
 
-impl Holder {
+impl LeaseClient {
     /// One that wants the task from now on.
-    pub fn new(now: Micros, terms: Terms, task: &str, me: &str) -> Holder {
-        Holder {
+    pub fn new(now: Micros, terms: LeaseTerms, task: &str, me: &str) -> LeaseClient {
+        LeaseClient {
             terms,
             task: task.into(),
             me: me.into(),
@@ -58,28 +58,28 @@
     }
 
     /// The token under which it may begin to act now.
-    pub fn acts(&self, now: Micros) -> Option<u64> {
+    pub fn active_token(&self, now: Micros) -> Option<u64> {
         self.held.filter(|&(_, until)| now < until).map(|(token, _)| token)
     }
 
     /// How long it may act still.
-    pub fn left(&self, now: Micros) -> Micros {
+    pub fn remaining(&self, now: Micros) -> Micros {
         self.held.map_or(0, |(_, until)| until.saturating_sub(now))
     }
 
     /// What to ask for now, with the question's number.
-    pub fn turn(&mut self, now: Micros) -> Option<(u64, Command)> {
-        if self.held.is_some() && self.acts(now).is_none() {
+    pub fn next_request(&mut self, now: Micros) -> Option<(u64, Command)> {
+        if self.held.is_some() && self.active_token(now).is_none() {
             self.held = None;
         }
         if now < self.next {
             return None;
         }
-        self.next = now + self.terms.span / 6;
+        self.next = now + self.terms.duration / 6;
         let task = self.task.clone();
         let command = match self.held {
             // In the first third of the span there is nothing to ask for.
-            Some((_, until)) if until > now + self.terms.span * 2 / 3 => return None,
+            Some((_, until)) if until > now + self.terms.duration * 2 / 3 => return None,
             Some((token, _)) => Command::Renew { task, token },
             None => Command::Acquire { task, holder: self.me.clone() },
         };
@@ -92,11 +92,11 @@
     }
 
     /// The answer to a question.
-    pub fn answer(&mut self, now: Micros, id: u64, outcome: &Outcome) {
+    pub fn handle_outcome(&mut self, now: Micros, id: u64, outcome: &Outcome) {
         let Some(at) = self.asked.remove(&id) else { return };
         match outcome {
             Outcome::Granted(token) => {
-                let until = at + self.terms.span;
+                let until = at + self.terms.duration;
                 let known = self.held.filter(|held| held.0 >= *token);
                 let until =
                     known.map_or(until, |held| if held.0 == *token { held.1.max(until) } else { held.1 });
@@ -113,7 +113,7 @@
     }
 
     /// Stops acting at once, and gives the task back; it asks again after `rest`.
-    pub fn give_back(&mut self, now: Micros, rest: Micros) -> Option<(u64, Command)> {
+    pub fn release(&mut self, now: Micros, rest: Micros) -> Option<(u64, Command)> {
         let (token, _) = self.held.take()?;
         // Answers that are out must not make it a holder again.
         self.asked.clear();
@@ -125,19 +125,19 @@
 
 /// The leader's side: how long each lease has not been renewed, by its own clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Watch {
+pub struct LeaseMonitor {
     seen: BTreeMap<String, (u64, u64, Micros)>,
 }
 
-impl Watch {
+impl LeaseMonitor {
     /// One that begins to lead now: whatever it knew before, holders may have been renewed until this moment.
-    pub fn new(now: Micros, state: &State) -> Watch {
+    pub fn new(now: Micros, state: &State) -> LeaseMonitor {
         let held = state.leases.iter().filter(|(_, lease)| lease.holder.is_some());
-        Watch { seen: held.map(|(task, l)| (task.clone(), (l.token, l.renewals, now))).collect() }
+        LeaseMonitor { seen: held.map(|(task, l)| (task.clone(), (l.token, l.renewals, now))).collect() }
     }
 
     /// What is to be freed now.
-    pub fn turn(&mut self, now: Micros, terms: &Terms, state: &State) -> Vec<Command> {
+    pub fn expired(&mut self, now: Micros, terms: &LeaseTerms, state: &State) -> Vec<Command> {
         let mut over = Vec::new();
         self.seen.retain(|task, _| state.leases.get(task).is_some_and(|lease| lease.holder.is_some()));
         for (task, lease) in state.leases.iter().filter(|(_, lease)| lease.holder.is_some()) {
@@ -146,7 +146,7 @@
             if (seen.0, seen.1) != is {
                 *seen = (is.0, is.1, now);
             }
-            if now >= seen.2 + terms.wait() {
+            if now >= seen.2 + terms.expiry_wait() {
                 over.push(Command::Free { task: task.clone(), token: is.0, renewals: is.1 });
             }
         }
@@ -156,13 +156,13 @@
 
 /// The side of whoever carries acts out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Gate {
+pub struct TokenFence {
     highest: BTreeMap<String, u64>,
 }
 
-impl Gate {
+impl TokenFence {
     /// Whether an act under this token is to be carried out.
-    pub fn passes(&mut self, task: &str, token: u64) -> bool {
+    pub fn admits(&mut self, task: &str, token: u64) -> bool {
         let highest = self.highest.entry(task.into()).or_default();
         *highest = token.max(*highest);
         token == *highest
--- a/src/group/lease_model.rs
+++ b/src/group/lease_model.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashSet, VecDeque};
 
 /// An eighth of drift; a span is three ticks of a true clock.
-const TERMS: Terms = Terms { span: 24, drift: 125_000 };
+const TERMS: LeaseTerms = LeaseTerms { duration: 24, drift_ppm: 125_000 };
 
 #[derive(Clone, Copy, PartialEq)]
 enum Planted {
@@ -26,11 +26,11 @@
 struct World {
     ticks: u64,
     state: State,
-    watch: Watch,
-    holders: [Holder; 2],
+    watch: LeaseMonitor,
+    holders: [LeaseClient; 2],
     /// One that has looked at its lease and is stopped before its act: its token.
     about: [Option<u64>; 2],
-    gate: Gate,
+    gate: TokenFence,
     carried: u64,
     out: Vec<Message>,
     changes: u8,
@@ -53,11 +53,11 @@
         world.out.truncate(4);
         next.push(world);
     };
-    let terms = if planted == Planted::NoDrift { Terms { drift: 0, ..TERMS } } else { TERMS };
+    let terms = if planted == Planted::NoDrift { LeaseTerms { drift_ppm: 0, ..TERMS } } else { TERMS };
     // Time passes; the leader looks.
     let mut world = w.clone();
     world.ticks += 1;
-    for free in world.watch.turn(leader_clock(world.ticks), &terms, &world.state.clone()) {
+    for free in world.watch.expired(leader_clock(world.ticks), &terms, &world.state.clone()) {
         world.state.apply(&free);
     }
     push(world);
@@ -66,20 +66,20 @@
         let mut world = w.clone();
         world.changes += 1;
         let now = if planted == Planted::NoWaitAfterChange { 0 } else { leader_clock(w.ticks) };
-        world.watch = Watch::new(now, &w.state);
+        world.watch = LeaseMonitor::new(now, &w.state);
         push(world);
     }
     for i in 0..2 {
         let now = holder_clock(w.ticks, i);
         // It asks if it is due; not to ask is to be stopped.
         let mut world = w.clone();
-        if let Some((id, command)) = world.holders[i].turn(now) {
+        if let Some((id, command)) = world.holders[i].next_request(now) {
             let text = String::from_utf8(command.encode()).unwrap();
             world.out.push(Message::Ask(i, id, text));
             push(world);
         }
         // It looks and is about to act; and it acts, at once or much later.
-        if let (None, Some(token)) = (w.about[i], w.holders[i].acts(now)) {
+        if let (None, Some(token)) = (w.about[i], w.holders[i].active_token(now)) {
             let mut world = w.clone();
             world.about[i] = Some(token);
             push(world);
@@ -87,7 +87,7 @@
         if let Some(token) = w.about[i] {
             let mut world = w.clone();
             world.about[i] = None;
-            if planted == Planted::TokensUnchecked || world.gate.passes("t", token) {
+            if planted == Planted::TokensUnchecked || world.gate.admits("t", token) {
                 if token < world.carried {
                     return Err(format!("token {token} carried out after {}", world.carried));
                 }
@@ -106,7 +106,7 @@
             match message {
                 Message::Ask(i, id, text) => {
                     let outcome = world.state.apply(&Command::decode(text.as_bytes()).unwrap());
-                    world.watch.turn(leader_clock(w.ticks), &terms, &world.state.clone());
+                    world.watch.expired(leader_clock(w.ticks), &terms, &world.state.clone());
                     world.out.push(Message::Answer(*i, *id, serde_json::to_string(&outcome).unwrap()));
                 }
                 Message::Answer(i, id, text) => {
@@ -114,7 +114,7 @@
                     if planted == Planted::CountedFromAnswer {
                         world.holders[*i].asked.entry(*id).and_modify(|at| *at = now);
                     }
-                    world.holders[*i].answer(now, *id, &serde_json::from_str(text).unwrap());
+                    world.holders[*i].handle_outcome(now, *id, &serde_json::from_str(text).unwrap());
                 }
             }
             push(world);
@@ -124,7 +124,7 @@
         push(world);
     }
     for world in &next {
-        let acts = |i: usize| world.holders[i].acts(holder_clock(world.ticks, i));
+        let acts = |i: usize| world.holders[i].active_token(holder_clock(world.ticks, i));
         if let (Some(a), Some(b)) = (acts(0), acts(1)) {
             return Err(format!("both may act at tick {}, under {a} and {b}", world.ticks));
         }
@@ -133,14 +133,14 @@
 }
 
 fn start() -> World {
-    let holder = |name| Holder::new(0, TERMS, "t", name);
+    let holder = |name| LeaseClient::new(0, TERMS, "t", name);
     World {
         ticks: 0,
         state: State::default(),
-        watch: Watch::default(),
+        watch: LeaseMonitor::default(),
         holders: [holder("a"), holder("b")],
         about: [None, None],
-        gate: Gate::default(),
+        gate: TokenFence::default(),
         carried: 0,
         out: Vec::new(),
         changes: 0,
@@ -150,19 +150,19 @@
 /// The first holder has been granted the task: deeper worlds are within reach from here.
 fn held() -> World {
     let mut world = start();
-    let (id, ask) = world.holders[0].turn(0).unwrap();
+    let (id, ask) = world.holders[0].next_request(0).unwrap();
     let outcome = world.state.apply(&ask);
-    world.watch.turn(0, &TERMS, &world.state.clone());
-    world.holders[0].answer(0, id, &outcome);
+    world.watch.expired(0, &TERMS, &world.state.clone());
+    world.holders[0].handle_outcome(0, id, &outcome);
     world
 }
 
 /// The first holder has asked, it is decided, and the answer is on its way.
 fn decided() -> World {
     let mut world = start();
-    let (id, ask) = world.holders[0].turn(0).unwrap();
+    let (id, ask) = world.holders[0].next_request(0).unwrap();
     let outcome = world.state.apply(&ask);
-    world.watch.turn(0, &TERMS, &world.state.clone());
+    world.watch.expired(0, &TERMS, &world.state.clone());
     world.out.push(Message::Answer(0, id, serde_json::to_string(&outcome).unwrap()));
     world
 }
@@ -222,21 +222,21 @@
 /// Guards against a task that nobody ever gets again.
 #[test]
 fn a_task_whose_holder_is_gone_is_granted_again() {
-    let (mut state, mut watch) = (State::default(), Watch::default());
-    let (mut gone, mut other) = (Holder::new(0, TERMS, "t", "a"), Holder::new(0, TERMS, "t", "b"));
-    let (id, ask) = gone.turn(0).unwrap();
+    let (mut state, mut watch) = (State::default(), LeaseMonitor::default());
+    let (mut gone, mut other) = (LeaseClient::new(0, TERMS, "t", "a"), LeaseClient::new(0, TERMS, "t", "b"));
+    let (id, ask) = gone.next_request(0).unwrap();
     let outcome = state.apply(&ask);
-    gone.answer(0, id, &outcome);
-    assert_eq!(gone.acts(0), Some(1));
+    gone.handle_outcome(0, id, &outcome);
+    assert_eq!(gone.active_token(0), Some(1));
     let mut now = 0;
-    while other.acts(now).is_none() {
+    while other.active_token(now).is_none() {
         now += 1;
-        assert!(now <= 2 * TERMS.wait(), "{state:?}");
-        watch.turn(now, &TERMS, &state.clone()).iter().for_each(|free| drop(state.apply(free)));
-        if let Some((id, ask)) = other.turn(now) {
+        assert!(now <= 2 * TERMS.expiry_wait(), "{state:?}");
+        watch.expired(now, &TERMS, &state.clone()).iter().for_each(|free| drop(state.apply(free)));
+        if let Some((id, ask)) = other.next_request(now) {
             let outcome = state.apply(&ask);
-            other.answer(now, id, &outcome);
+            other.handle_outcome(now, id, &outcome);
         }
     }
-    assert_eq!((other.acts(now), gone.acts(now)), (Some(2), None));
+    assert_eq!((other.active_token(now), gone.active_token(now)), (Some(2), None));
 }
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -5,7 +5,7 @@
 
 use super::account::{Book, Page};
 use super::folder::Keep;
-use super::lease::{Gate, Holder, Terms};
+use super::lease::{LeaseClient, LeaseTerms, TokenFence};
 use super::outbox::{LeaseToken, Outbox};
 use super::record::{Outcome, State};
 use super::voter::{Said, Voter};
@@ -76,12 +76,12 @@
     voter: Option<Voter<K>>,
     /// The record as last heard, where it does not vote itself.
     heard: State,
-    terms: Terms,
+    terms: LeaseTerms,
     pub(super) duties: Duties,
-    holders: BTreeMap<String, Holder>,
+    holders: BTreeMap<String, LeaseClient>,
     /// Under which token it acts, since when, and when it told of it last.
     acting: BTreeMap<String, (u64, Micros, Micros)>,
-    gate: Gate,
+    gate: TokenFence,
     /// Whom to ask: the voter that led when last heard of, else one after the other.
     ask: usize,
     /// Questions that are out.
@@ -111,14 +111,14 @@
         peers: Peers,
         voters: &[String],
         voter: Option<Voter<K>>,
-        terms: Terms,
+        terms: LeaseTerms,
         duties: Duties,
     ) -> Member<K> {
         let mut voters = voters.to_vec();
         voters.sort();
         // A name may be taken over by a later process: what the older one holds is not the later one's.
         let me = format!("{}#{}", peers.me().name, peers.me().started);
-        let holder = |task: &String| (task.clone(), Holder::new(now, terms, task, &me));
+        let holder = |task: &String| (task.clone(), LeaseClient::new(now, terms, task, &me));
         Member {
             voters,
             voter,
@@ -127,7 +127,7 @@
             holders: duties.tasks.iter().map(holder).collect(),
             duties,
             acting: BTreeMap::new(),
-            gate: Gate::default(),
+            gate: TokenFence::default(),
             ask: peers.me().started as usize,
             asked: BTreeMap::new(),
             questions: 0,
@@ -161,13 +161,16 @@
 
     /// The token under which an act on this task may begin now.
     pub fn acts(&self, now: Micros, task: &str) -> Option<u64> {
-        self.holders.get(task)?.acts(now).filter(|token| self.acting.get(task).is_some_and(|a| a.0 == *token))
+        self.holders
+            .get(task)?
+            .active_token(now)
+            .filter(|token| self.acting.get(task).is_some_and(|a| a.0 == *token))
     }
 
     /// For how long acts on this task may still begin, in microseconds; 0 where none may.
     pub fn lease_left(&self, now: Micros, task: &str) -> Micros {
         match self.acts(now, task) {
-            Some(_) => self.holders.get(task).map_or(0, |holder| holder.left(now)),
+            Some(_) => self.holders.get(task).map_or(0, |holder| holder.remaining(now)),
             None => 0,
         }
     }
@@ -187,7 +190,7 @@
             Some(Words::Question(question)) => self.question(question),
             Some(Words::Answer(answer)) => self.answer(now, answer),
             Some(Words::Act(act)) => {
-                let passes = self.gate.passes(&act.task, act.token);
+                let passes = self.gate.admits(&act.task, act.token);
                 self.report(Event::Act(act, passes));
             }
             Some(Words::Report(report)) => self.book.take(now, report),
@@ -253,7 +256,7 @@
             }
             Reply::Outcome(outcome) => match asked {
                 Some(Asked::Lease(task, id)) => {
-                    self.holders.entry(task).and_modify(|holder| holder.answer(now, id, &outcome));
+                    self.holders.entry(task).and_modify(|holder| holder.handle_outcome(now, id, &outcome));
                 }
                 Some(Asked::Page(page)) if outcome == Outcome::Done => self.write(now, page),
                 _ => {}
@@ -401,8 +404,8 @@
 
     fn task(&mut self, now: Micros, task: &str) {
         let Some(holder) = self.holders.get_mut(task) else { return };
-        let asks = holder.turn(now);
-        let may = holder.acts(now);
+        let asks = holder.next_request(now);
+        let may = holder.active_token(now);
         if let Some((id, command)) = asks {
             // Whoever did not answer in a sixth of a span is not asked again at once.
             let out = |asked: &Asked| matches!(asked, Asked::Lease(of, _) if of == task);
@@ -443,14 +446,14 @@
         for member in members.iter().filter(|member| member.name != act.holder) {
             self.send(Some(&lease), &member.name, &Words::Act(act.clone()));
         }
-        let passes = self.gate.passes(task, token);
+        let passes = self.gate.admits(task, token);
         self.events.push(Some(lease), Event::Act(act, passes));
     }
 
     /// Stops acting on a task, and lets another have it.
     pub fn give_back(&mut self, now: Micros, task: &str) {
-        let (rest, Some(holder)) = (self.terms.span / 2, self.holders.get_mut(task)) else { return };
-        if let Some((id, command)) = holder.give_back(now, rest) {
+        let (rest, Some(holder)) = (self.terms.duration / 2, self.holders.get_mut(task)) else { return };
+        if let Some((id, command)) = holder.release(now, rest) {
             self.wish(Wish::Change(command), Some(Asked::Lease(task.into(), id)));
         }
         if let Some((token, _, _)) = self.acting.remove(task) {
@@ -534,7 +537,7 @@
         let _ = write!(text, "record version={version} tokens={tokens} pages={pages}\r\n");
         for (task, lease) in &record.leases {
             let holder = lease.holder.as_deref().map_or("none", |h| h.split('#').next().unwrap_or(h));
-            let left = self.holders.get(task).map_or(0, |h| h.left(now)) / 1_000;
+            let left = self.holders.get(task).map_or(0, |h| h.remaining(now)) / 1_000;
             let left = if left > 0 { format!(" left={left}ms") } else { String::new() };
             let _ = write!(text, "lease {task} holder={holder} token={}{left}\r\n", lease.token);
         }
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-const TERMS: Terms = Terms { span: 6_000_000, drift: 10_000 };
+const TERMS: LeaseTerms = LeaseTerms { duration: 6_000_000, drift_ppm: 10_000 };
 const SECOND: Micros = 1_000_000;
 
 struct Net {
@@ -189,7 +189,7 @@
     member.turn(decided);
     assert!(member.acts(decided, "rebalance").is_some(), "the decision was made under the lease");
 
-    let continued = decided + TERMS.span;
+    let continued = decided + TERMS.duration;
     let sent: Vec<_> = std::iter::from_fn(|| member.next_message(continued)).collect();
     let acts = sent.iter().filter(|(_, bytes)| matches!(Words::read(bytes), Some(Words::Act(_))));
     assert_eq!(acts.count(), 0, "acts that were sent after the lease had ended");
--- a/src/group/outbox.rs
+++ b/src/group/outbox.rs
@@ -3,7 +3,7 @@
 //! Invariant: an entry that was decided under a lease leaves the queue only while that lease still allows it; afterwards it
 //! is dropped. A process may be stopped for any time between a decision and its execution, so the lease is checked
 //! again, by a new reading of the clock, for each entry. What remains between that check and the system call no clock
-//! can close: there the fencing token holds, which the receiver's [`super::lease::Gate`] checks.
+//! can close: there the fencing token holds, which the receiver's [`super::lease::TokenFence`] checks.
 
 use std::collections::VecDeque;
 
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -147,7 +147,7 @@
         let said = |what: String| format!("[group]: {what}");
         let seal = Seal::read(&settings.key).map_err(said)?;
         let clock = Clock::new();
-        let terms = lease::Terms { span: settings.span, drift: settings.drift };
+        let terms = lease::LeaseTerms { duration: settings.span, drift_ppm: settings.drift };
         let mut voter = None;
         let kept_notify = Arc::new(Notify::new());
         if settings.voters.iter().any(|voter| voter == name) {
--- a/src/group/voter.rs
+++ b/src/group/voter.rs
@@ -5,7 +5,7 @@
 //! from it ([`Beacon`]), or another has its place, a voter says nothing more.
 
 use super::folder::{Keep, Kept, Save};
-use super::lease::{Terms, Watch};
+use super::lease::{LeaseMonitor, LeaseTerms};
 use super::record::{Command, Outcome, State};
 use crate::api::Micros;
 use protobuf::Message as _;
@@ -155,7 +155,7 @@
     kept_hard: HardState,
     instead: Option<String>,
     state: State,
-    terms: Terms,
+    terms: LeaseTerms,
     /// How far its folder has come, and how far the others say that theirs have.
     far: Far,
     heard: BTreeMap<u64, Far>,
@@ -167,7 +167,7 @@
     /// Why it must not go on.
     wrong: Option<String>,
     /// What it looks after while it leads, and every command of the leaders before it is in the state.
-    watch: Option<Watch>,
+    watch: Option<LeaseMonitor>,
     /// Who asked what was proposed here and is not decided, by the number in the entry.
     waits: BTreeMap<u64, (String, u64)>,
     proposed: u64,
@@ -186,7 +186,7 @@
         now: Micros,
         me: &str,
         others: &[String],
-        terms: Terms,
+        terms: LeaseTerms,
         keep: K,
         kept: Kept,
     ) -> Result<Voter<K>, String> {
@@ -432,7 +432,7 @@
         if now >= self.freed + TICK {
             self.freed = now;
             let over = match &mut self.watch {
-                Some(watch) => watch.turn(now, &self.terms, &self.state),
+                Some(watch) => watch.expired(now, &self.terms, &self.state),
                 None => Vec::new(),
             };
             for free in &over {
@@ -594,7 +594,7 @@
             }
             if leads && self.watch.is_none() {
                 // All that leaders before this one decided is in the state: from now on it looks after leases.
-                self.watch = Some(Watch::new(now, &self.state));
+                self.watch = Some(LeaseMonitor::new(now, &self.state));
             }
         }
         Ok(())
--- a/src/group/voter_search.rs
+++ b/src/group/voter_search.rs
@@ -2,7 +2,7 @@
 //! and two askers: over the code that runs, not over a copy of it.
 
 use super::super::folder::{Folder, Kept};
-use super::super::lease::{Gate, Holder};
+use super::super::lease::{LeaseClient, TokenFence};
 use super::tests::{acquire, Memory, Net};
 use super::*;
 use redb::{Database, StorageBackend};
@@ -253,18 +253,18 @@
 const MOMENTS: usize = 36;
 const STORY: usize = 110;
 /// How long a holder may act, and how far clocks run.
-const STATED: Terms = Terms { span: 1_600_000, drift: 200_000 };
+const STATED: LeaseTerms = LeaseTerms { duration: 1_600_000, drift_ppm: 200_000 };
 
 /// Plays three voters and two askers with these faults at these moments; what was wrong. The voters go by terms of their own.
-fn story(faults: &[(usize, Fault)], terms: Terms) -> Result<u64, String> {
+fn story(faults: &[(usize, Fault)], terms: LeaseTerms) -> Result<u64, String> {
     let mut net = Net::new(3, 1);
     net.terms = terms;
     // Voters' clocks run fast, the first asker's slow and the second's true.
     net.rates = vec![120; 3];
     (0..3).for_each(|i| net.start(i));
-    let mut holders = ["a", "b"].map(|me| Holder::new(0, STATED, "t", me));
+    let mut holders = ["a", "b"].map(|me| LeaseClient::new(0, STATED, "t", me));
     let clock = |i: usize, now: Micros| now * if i == 0 { 80 } else { 100 } / 100;
-    let (mut gate, mut carried, mut about) = (Gate::default(), 0, [None; 2]);
+    let (mut gate, mut carried, mut about) = (TokenFence::default(), 0, [None; 2]);
     let (mut asks, mut n) = (BTreeMap::<u64, (usize, u64)>::new(), 0);
     while net.leader().is_none() {
         net.after(STEP);
@@ -292,20 +292,20 @@
             let now = clock(i, net.now);
             // One that is stopped has looked at its lease before.
             if begins(Fault::Pause(i)) {
-                about[i] = holder.acts(now);
+                about[i] = holder.active_token(now);
             }
             if on(Fault::Pause(i)) {
                 continue;
             }
-            if let Some((id, command)) = holder.turn(now) {
+            if let Some((id, command)) = holder.next_request(now) {
                 n += 1;
                 asks.insert(n, (i, id));
                 if let Some(l) = net.leader() {
                     net.voters[l].as_mut().unwrap().ask("h", n, &command);
                 }
             }
-            let acts = about[i].take().or(holder.acts(now));
-            if let Some(token) = acts.filter(|&token| gate.passes("t", token)) {
+            let acts = about[i].take().or(holder.active_token(now));
+            if let Some(token) = acts.filter(|&token| gate.admits("t", token)) {
                 if token < carried {
                     return Err(format!("token {token} carried out after {carried}"));
                 }
@@ -315,15 +315,17 @@
         let answers = std::mem::take(&mut net.answers);
         for (_, n, outcome) in answers {
             if let Some((i, id)) = asks.get(&n).copied().filter(|(i, _)| !on(Fault::Pause(*i))) {
-                holders[i].answer(clock(i, net.now), id, &outcome);
+                holders[i].handle_outcome(clock(i, net.now), id, &outcome);
             }
         }
-        if let (Some(a), Some(b)) = (holders[0].acts(clock(0, net.now)), holders[1].acts(clock(1, net.now))) {
+        if let (Some(a), Some(b)) =
+            (holders[0].active_token(clock(0, net.now)), holders[1].active_token(clock(1, net.now)))
+        {
             return Err(format!("step {step}: both may act, under {a} and {b}"));
         }
     }
     // All that failed is over for long: somebody acts.
-    let acting = (0..2).any(|i| holders[i].acts(clock(i, net.now)).is_some());
+    let acting = (0..2).any(|i| holders[i].active_token(clock(i, net.now)).is_some());
     if acting {
         Ok(carried)
     } else {
@@ -332,7 +334,7 @@
 }
 
 /// Every pair of faults at every sixth moment; how many stories, and the first that is wrong.
-fn pairs(terms: Terms) -> (usize, Option<String>) {
+fn pairs(terms: LeaseTerms) -> (usize, Option<String>) {
     let moments = (0..MOMENTS).step_by(6);
     let all: Vec<(usize, Fault)> = moments.flat_map(|at| FAULTS.map(|fault| (at, fault))).collect();
     let mut stories = 0;
@@ -360,8 +362,8 @@
 #[test]
 fn voters_that_free_too_early_are_found() {
     for (terms, name) in [
-        (Terms { drift: 0, ..STATED }, "no bound for drift"),
-        (Terms { span: 0, ..STATED }, "no wait at all"),
+        (LeaseTerms { drift_ppm: 0, ..STATED }, "no bound for drift"),
+        (LeaseTerms { duration: 0, ..STATED }, "no wait at all"),
     ] {
         let (stories, wrong) = pairs(terms);
         println!("{name}: after {stories} stories {wrong:?}");
--- a/src/group/voter_tests.rs
+++ b/src/group/voter_tests.rs
@@ -1,7 +1,7 @@
 //! Voters in one thread, over a net that loses, doubles and cuts by a seed; folders that fail and are put back.
 
 use super::super::folder::Folder;
-use super::super::lease::Holder;
+use super::super::lease::LeaseClient;
 use super::super::writer::Write;
 use super::*;
 use std::cell::RefCell;
@@ -75,7 +75,7 @@
     }
 }
 
-pub const TERMS: Terms = Terms { span: 2_000_000, drift: 10_000 };
+pub const TERMS: LeaseTerms = LeaseTerms { duration: 2_000_000, drift_ppm: 10_000 };
 
 pub struct Net {
     pub now: Micros,
@@ -85,7 +85,7 @@
     pub answers: Vec<(String, u64, Outcome)>,
     drawn: u64,
     /// What the voters go by; in a planted error not what the holders do.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// Messages of this step come so many steps later; those that do.
     pub late: usize,
     waits: Vec<(usize, usize, Vec<u8>)>,
@@ -319,7 +319,7 @@
         let mut net = Net::new(3, first_seed + seed);
         net.lost = 15;
         net.kept.iter().for_each(|memory| memory.1.borrow_mut().slow = slow);
-        let mut holders: Vec<Holder> = ["a", "b"].map(|me| Holder::new(0, TERMS, "t", me)).into();
+        let mut holders: Vec<LeaseClient> = ["a", "b"].map(|me| LeaseClient::new(0, TERMS, "t", me)).into();
         let mut asks: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
         let (mut n, mut last, mut idle) = (0, 0, 0);
         while net.now < 60_000_000 {
@@ -346,13 +346,13 @@
                 // Now and then one stops for long.
                 if net.draw() % 100 < 3 {
                     let at = net.now;
-                    if let Some((_, give)) = holder.give_back(at, 500_000) {
+                    if let Some((_, give)) = holder.release(at, 500_000) {
                         net.leader().into_iter().for_each(|l| {
                             net.voters[l].as_mut().unwrap().ask("h", 0, &give);
                         });
                     }
                 }
-                if let Some((id, command)) = holder.turn(net.now) {
+                if let Some((id, command)) = holder.next_request(net.now) {
                     n += 1;
                     asks.insert(n, (i, id));
                     net.leader().into_iter().for_each(|l| {
@@ -363,10 +363,10 @@
             for (_, n, outcome) in std::mem::take(&mut net.answers) {
                 if let Some((i, id)) = asks.remove(&n) {
                     let now = net.now;
-                    holders[i].answer(now, id, &outcome);
+                    holders[i].handle_outcome(now, id, &outcome);
                 }
             }
-            let acting: Vec<u64> = holders.iter().filter_map(|h| h.acts(net.now)).collect();
+            let acting: Vec<u64> = holders.iter().filter_map(|h| h.active_token(net.now)).collect();
             assert!(acting.len() < 2, "seed {seed}: {acting:?}");
             idle = if acting.is_empty() { idle + 1 } else { 0 };
             most = most.max(idle);
