--- a/src/cli/group.rs
+++ b/src/cli/group.rs
@@ -1,6 +1,6 @@
 //! `oakdeal group`: a voter's folder, and what a running process shows and is told.
 
-use crate::group::folder::{Folder, Kept};
+use crate::group::folder::{StoredVoter, VoterFolder};
 use crate::operator::Operator;
 use clap::Subcommand;
 use std::io::{Read, Write};
@@ -57,10 +57,10 @@
                 .ok_or_else(|| said("has no `folder` in [group]: add where the voter keeps its memory"))?;
             let drawn = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |at| at.as_nanos() as u64);
             let kept = match &instead {
-                Some(instead) => Kept::joiner(&name, instead, drawn),
-                None => Kept::founder(&name, &group.voters),
+                Some(instead) => StoredVoter::for_replacement(&name, instead, drawn),
+                None => StoredVoter::for_new_group(&name, &group.voters),
             };
-            Folder::found(&folder, &name, &kept)?;
+            VoterFolder::create(&folder, &name, &kept)?;
             println!("{}: the memory of {name}, empty", folder.display());
             Ok(())
         }
--- a/src/group/duties.rs
+++ b/src/group/duties.rs
@@ -1,7 +1,7 @@
 //! What the holders of tasks do beside acting: the fleet's account and the plan for zones. Each tells the holder what it knows;
 //! the holder proposes to the record, and what the record takes is what counts.
 
-use super::folder::Keep;
+use super::folder::VoterStorage;
 use super::member::{Asked, Event, Member};
 use super::record::Command;
 use super::words::{Report, Wish, Words};
@@ -17,7 +17,7 @@
 /// Rows in one report.
 const ROWS: usize = 32;
 
-impl<K: Keep> Member<K> {
+impl<K: VoterStorage> Member<K> {
     /// Who holds a task by the record.
     fn holder(&self, task: &str) -> Option<String> {
         let lease = self.record().leases.get(task)?;
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -4,7 +4,7 @@
 //! leaves the [`Outbox`]; what it knows of the record is never older than what it knew before. A datagram that cannot be read is counted and changes nothing.
 
 use super::account::{Book, Page};
-use super::folder::Keep;
+use super::folder::VoterStorage;
 use super::lease::{LeaseClient, LeaseTerms, TokenFence};
 use super::outbox::{LeaseToken, Outbox};
 use super::record::{Outcome, State};
@@ -104,7 +104,7 @@
     pub junk: u64,
 }
 
-impl<K: Keep> Member<K> {
+impl<K: VoterStorage> Member<K> {
     /// One with these duties.
     pub fn new(
         now: Micros,
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 use crate::contracts::row::Row;
-use crate::group::folder::{Kept, Save};
+use crate::group::folder::{StorageUpdate, StoredVoter};
 use crate::group::ACCOUNT;
 use crate::peers;
 
 /// A folder that keeps nothing: no voter stops here.
 struct Nowhere;
 
-impl Keep for Nowhere {
-    fn save(&mut self, _: Save) -> Result<(), String> {
+impl VoterStorage for Nowhere {
+    fn save(&mut self, _: StorageUpdate) -> Result<(), String> {
         Ok(())
     }
 }
@@ -49,7 +49,7 @@
             let book = (0..3).filter(|&j| j != i).map(|j| (names[j].clone(), address(j))).collect();
             let peers = Peers::new(me, book, SECOND, ONE - 80, i as u64);
             let voter = names.get(i).map(|name| {
-                Voter::new(0, name, &names, TERMS, Nowhere, Kept::founder(name, &names)).unwrap()
+                Voter::new(0, name, &names, TERMS, Nowhere, StoredVoter::for_new_group(name, &names)).unwrap()
             });
             let tasks = if i < wants { vec!["rebalance".into(), ACCOUNT.into()] } else { Vec::new() };
             let duties = Duties { tasks, turn: 60 * SECOND, account: 2 * SECOND };
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -3,7 +3,7 @@
 
 #[cfg(feature = "failpoints")]
 use super::failpoint::StopBeforeAct;
-use super::folder::Folder;
+use super::folder::VoterFolder;
 use super::lease;
 use super::member::{Duties, Event, Member};
 use super::record;
@@ -153,7 +153,7 @@
         if settings.voters.iter().any(|voter| voter == name) {
             let folder =
                 settings.folder.as_ref().ok_or_else(|| said(format!("{name} votes: give it a `folder`")))?;
-            match Folder::open(folder, name) {
+            match VoterFolder::open(folder, name) {
                 Ok((folder, kept)) => {
                     let others = &settings.voters;
                     let writer =
--- a/src/group/voter.rs
+++ b/src/group/voter.rs
@@ -4,7 +4,7 @@
 //! Promised: an answer is given only for what a majority has kept. Where its folder fails, is older than what it has promised
 //! from it ([`Beacon`]), or another has its place, a voter says nothing more.
 
-use super::folder::{Keep, Kept, Save};
+use super::folder::{StorageUpdate, StoredVoter, VoterStorage};
 use super::lease::{LeaseMonitor, LeaseTerms};
 use super::record::{Command, Outcome, State};
 use crate::api::Micros;
@@ -179,7 +179,7 @@
     said: Vec<Said>,
 }
 
-impl<K: Keep> Voter<K> {
+impl<K: VoterStorage> Voter<K> {
     /// The voter of this name, with what it has kept.
     /// `others`: who is asked at first.
     pub fn new(
@@ -188,7 +188,7 @@
         others: &[String],
         terms: LeaseTerms,
         keep: K,
-        kept: Kept,
+        kept: StoredVoter,
     ) -> Result<Voter<K>, String> {
         let told = |e: raft::Error| e.to_string();
         let memory = MemStorage::new();
@@ -203,8 +203,8 @@
             }
             let behind: Vec<Entry> = kept.entries.iter().filter(|e| e.index > applied).cloned().collect();
             log.append(&behind).map_err(told)?;
-            if kept.hard.term > 0 {
-                let mut hard = kept.hard.clone();
+            if kept.hard_state.term > 0 {
+                let mut hard = kept.hard_state.clone();
                 hard.commit = hard.commit.max(applied);
                 log.set_hardstate(hard);
             }
@@ -213,7 +213,7 @@
         let rank = kept.snapshot.get_metadata().get_conf_state().voters.iter().filter(|id| **id < kept.id);
         let first = 10 + 3 * rank.count();
         let (min_election_tick, max_election_tick) =
-            if kept.instead.is_none() { (first, first + 1) } else { (10, 20) };
+            if kept.replaces.is_none() { (first, first + 1) } else { (10, 20) };
         let config = Config {
             id: kept.id,
             election_tick: 10,
@@ -236,12 +236,12 @@
             book: BTreeMap::new(),
             keep,
             saved: 0,
-            kept_hard: kept.hard.clone(),
+            kept_hard: kept.hard_state.clone(),
             unkept: VecDeque::new(),
-            instead: kept.instead,
+            instead: kept.replaces,
             state,
             terms,
-            far: Far { term: kept.hard.term, decided: kept.hard.commit },
+            far: Far { term: kept.hard_state.term, decided: kept.hard_state.commit },
             heard: BTreeMap::new(),
             answered: Some(Vec::new()),
             told: 0,
@@ -458,7 +458,7 @@
         }
     }
 
-    fn save(&mut self, save: Save) -> Result<(), String> {
+    fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
         self.keep.save(save)?;
         self.saved += 1;
         Ok(())
@@ -466,7 +466,7 @@
 
     /// Goes on with what the storage has kept meanwhile: only now its promises are sent.
     fn take_kept(&mut self) -> Result<(), String> {
-        let kept = self.keep.kept(self.saved)?;
+        let kept = self.keep.persisted(self.saved)?;
         while let Some(done) = self.unkept.pop_front_if(|unkept| unkept.write <= kept) {
             self.far = done.far.map_or(self.far, |far| self.far.max(far));
             self.node.on_persist_ready(done.step);
@@ -553,7 +553,7 @@
         if let Some(hard) = hard {
             self.kept_hard = hard.clone();
         }
-        self.save(Save { entries, hard, snapshot, anew: snapshot.is_some() })?;
+        self.save(StorageUpdate { entries, hard_state: hard, snapshot, reset_log: snapshot.is_some() })?;
         Ok(true)
     }
 
@@ -632,7 +632,7 @@
         snapshot.mut_metadata().term = self.node.store().term(self.applied).map_err(told)?;
         *snapshot.mut_metadata().mut_conf_state() = self.node.raft.prs().conf().to_conf_state();
         snapshot.data = self.state.encode().into();
-        self.save(Save { snapshot: Some(&snapshot), ..Save::default() })?;
+        self.save(StorageUpdate { snapshot: Some(&snapshot), ..StorageUpdate::default() })?;
         let store = self.node.mut_store();
         store.memory.wl().compact(self.applied).map_err(told)?;
         store.latest = snapshot;
--- a/src/group/voter_search.rs
+++ b/src/group/voter_search.rs
@@ -1,7 +1,7 @@
 //! Voters whose folders are lost, put back or cut short, and every pair of faults at every moment of a story of three voters
 //! and two askers: over the code that runs, not over a copy of it.
 
-use super::super::folder::{Folder, Kept};
+use super::super::folder::{StoredVoter, VoterFolder};
 use super::super::lease::{LeaseClient, TokenFence};
 use super::tests::{acquire, Memory, Net};
 use super::*;
@@ -19,7 +19,7 @@
     net.voters[lost] = None;
     assert_eq!(net.decide(2, Command::Renew { task: "t".into(), token: 1 }), Outcome::Granted(1));
     let name = net.names[lost].clone();
-    let joiner = Kept::joiner(&name, &name, 7);
+    let joiner = StoredVoter::for_replacement(&name, &name, 7);
     let id = joiner.id;
     net.kept[lost] = Memory::new(joiner);
     net.lost = 10;
@@ -177,7 +177,14 @@
     let names = ["v0".to_string()];
     let made = Disk::new(Vec::new(), u64::MAX);
     let open = |disk: &Disk, how| Database::builder().create_with_backend(Backend(disk.clone(), how));
-    drop(Folder::fill(open(&made, Left::All).unwrap(), "v0", &Kept::founder("v0", &names)).unwrap());
+    drop(
+        VoterFolder::initialize(
+            open(&made, Left::All).unwrap(),
+            "v0",
+            &StoredVoter::for_new_group("v0", &names),
+        )
+        .unwrap(),
+    );
     let bytes = made.left(Left::All);
     let entry = |index: u64| Entry { index, term: 1, data: vec![index as u8; 40].into(), ..Entry::default() };
     let (mut cuts, mut behind, mut refused) = (0, 0, 0);
@@ -186,12 +193,17 @@
             let disk = Disk::new(bytes.clone(), stops);
             let mut done = 1;
             if let Ok((mut folder, _)) =
-                open(&disk, how).map_err(|e| e.to_string()).and_then(|base| Folder::read(base, "v0"))
+                open(&disk, how).map_err(|e| e.to_string()).and_then(|base| VoterFolder::load(base, "v0"))
             {
                 for index in 2..8 {
-                    let hard = raft::eraftpb::HardState { term: 1, commit: index, ..Default::default() };
+                    let hard_state =
+                        raft::eraftpb::HardState { term: 1, commit: index, ..Default::default() };
                     if folder
-                        .save(Save { entries: &[entry(index)], hard: Some(&hard), ..Save::default() })
+                        .save(StorageUpdate {
+                            entries: &[entry(index)],
+                            hard_state: Some(&hard_state),
+                            ..StorageUpdate::default()
+                        })
                         .is_err()
                     {
                         break;
@@ -202,13 +214,15 @@
             let over = disk.0.lock().unwrap().acts < stops;
             cuts += 1;
             let again = Disk::new(disk.left(how), u64::MAX);
-            match open(&again, Left::All).map_err(|e| e.to_string()).and_then(|base| Folder::read(base, "v0"))
+            match open(&again, Left::All)
+                .map_err(|e| e.to_string())
+                .and_then(|base| VoterFolder::load(base, "v0"))
             {
                 Ok((_, kept)) => {
                     let last = kept.entries.last().map_or(1, |e| e.index);
                     // What it returned from is there, and of the next one all or nothing.
                     assert!(last == done || last == done + 1, "{how:?}, act {stops}: {last} after {done}");
-                    assert_eq!(kept.hard.commit, last, "{how:?}, act {stops}");
+                    assert_eq!(kept.hard_state.commit, last, "{how:?}, act {stops}");
                     assert!(kept.entries.iter().all(|e| *e == entry(e.index)), "{how:?}, act {stops}");
                     behind += usize::from(last > done);
                 }
--- a/src/group/voter_tests.rs
+++ b/src/group/voter_tests.rs
@@ -1,6 +1,6 @@
 //! Voters in one thread, over a net that loses, doubles and cuts by a seed; folders that fail and are put back.
 
-use super::super::folder::Folder;
+use super::super::folder::VoterFolder;
 use super::super::lease::LeaseClient;
 use super::super::writer::Write;
 use super::*;
@@ -17,10 +17,10 @@
 
 /// A folder in memory that outlives its voter, and fails when told to.
 #[derive(Clone, Default)]
-pub struct Memory(pub Rc<RefCell<(Kept, bool)>>, pub Rc<RefCell<Late>>);
+pub struct Memory(pub Rc<RefCell<(StoredVoter, bool)>>, pub Rc<RefCell<Late>>);
 
-impl Keep for Memory {
-    fn save(&mut self, save: Save) -> Result<(), String> {
+impl VoterStorage for Memory {
+    fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
         if self.1.borrow().slow {
             self.1.borrow_mut().waits.push_back(Write::of(&save));
             return Ok(());
@@ -28,14 +28,14 @@
         self.write(save)
     }
 
-    fn kept(&mut self, saved: u64) -> Result<u64, String> {
+    fn persisted(&mut self, saved: u64) -> Result<u64, String> {
         let late = self.1.borrow();
         Ok(if late.slow { late.done } else { saved })
     }
 }
 
 impl Memory {
-    pub fn new(kept: Kept) -> Memory {
+    pub fn new(kept: StoredVoter) -> Memory {
         Memory(Rc::new(RefCell::new((kept, false))), Rc::default())
     }
 
@@ -55,20 +55,20 @@
         late.done = 0;
     }
 
-    fn write(&mut self, save: Save) -> Result<(), String> {
-        let Save { entries, hard, snapshot, anew } = save;
+    fn write(&mut self, save: StorageUpdate) -> Result<(), String> {
+        let StorageUpdate { entries, hard_state, snapshot, reset_log } = save;
         let (kept, full) = &mut *self.0.borrow_mut();
         if *full {
             return Err("no room left".into());
         }
-        if anew {
+        if reset_log {
             kept.entries.clear();
         }
         if let Some(entry) = entries.first() {
             kept.entries.retain(|e| e.index < entry.index);
             kept.entries.extend_from_slice(entries);
         }
-        hard.into_iter().for_each(|hard| kept.hard = hard.clone());
+        hard_state.into_iter().for_each(|hard_state| kept.hard_state = hard_state.clone());
         snapshot.into_iter().for_each(|snapshot| kept.snapshot = snapshot.clone());
         snapshot.into_iter().for_each(|s| kept.entries.retain(|e| e.index > s.get_metadata().index));
         Ok(())
@@ -102,7 +102,7 @@
 impl Net {
     pub fn new(n: usize, seed: u64) -> Net {
         let names: Vec<String> = (0..n).map(|i| format!("v{i}")).collect();
-        let kept = names.iter().map(|name| Memory::new(Kept::founder(name, &names))).collect();
+        let kept = names.iter().map(|name| Memory::new(StoredVoter::for_new_group(name, &names))).collect();
         let (voters, answers, cut) = ((0..n).map(|_| None).collect(), Vec::new(), Vec::new());
         let mut net = Net {
             now: 0,
@@ -385,15 +385,15 @@
 fn a_folder_is_whose_it_is_and_keeps_what_it_returned_from() {
     let at = std::env::temp_dir().join(format!("oakdeal-folder-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&at);
-    assert!(Folder::open(&at, "v0").err().unwrap().contains("group found"));
+    assert!(VoterFolder::open(&at, "v0").err().unwrap().contains("group found"));
     let names = vec!["v0".to_string()];
-    let first = Kept::founder("v0", &names);
-    Folder::found(&at, "v0", &first).unwrap();
-    assert!(Folder::found(&at, "v0", &first).unwrap_err().contains("already"));
-    assert!(Folder::open(&at, "v1").err().unwrap().contains("v0"));
+    let first = StoredVoter::for_new_group("v0", &names);
+    VoterFolder::create(&at, "v0", &first).unwrap();
+    assert!(VoterFolder::create(&at, "v0", &first).unwrap_err().contains("already"));
+    assert!(VoterFolder::open(&at, "v1").err().unwrap().contains("v0"));
     let mut granted = 0;
     for round in 0..3 {
-        let (folder, kept) = Folder::open(&at, "v0").unwrap();
+        let (folder, kept) = VoterFolder::open(&at, "v0").unwrap();
         let mut voter = Voter::new(0, "v0", &names, TERMS, folder, kept).unwrap();
         let mut now = 0;
         while !voter.leads() {
@@ -414,8 +414,8 @@
     let whole = std::fs::read(&file).unwrap();
     for part in 1..16 {
         std::fs::write(&file, &whole[..whole.len() * part / 16]).unwrap();
-        if let Ok((_, kept)) = Folder::open(&at, "v0") {
-            assert!(kept.hard.term >= 1, "cut to {part}/16: an empty memory is a wrong one");
+        if let Ok((_, kept)) = VoterFolder::open(&at, "v0") {
+            assert!(kept.hard_state.term >= 1, "cut to {part}/16: an empty memory is a wrong one");
         }
     }
     std::fs::remove_dir_all(&at).unwrap();
--- a/src/group/writer.rs
+++ b/src/group/writer.rs
@@ -3,7 +3,7 @@
 //! Invariant: writes are done in the order in which they were handed over, and counted as kept only when they are. After a write
 //! that failed none is done any more, and the voter is told.
 
-use super::folder::{Keep, Save};
+use super::folder::{StorageUpdate, VoterStorage};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use std::sync::mpsc::{channel, Receiver, Sender, TryRecvError};
 use std::sync::Arc;
@@ -13,22 +13,32 @@
 /// A write that was handed over.
 pub(super) struct Write {
     entries: Vec<Entry>,
-    hard: Option<HardState>,
+    hard_state: Option<HardState>,
     snapshot: Option<Snapshot>,
-    anew: bool,
+    reset_log: bool,
 }
 
 impl Write {
     /// What is to be written, owned.
-    pub fn of(save: &Save) -> Write {
-        let Save { entries, hard, snapshot, anew } = *save;
-        Write { entries: entries.to_vec(), hard: hard.cloned(), snapshot: snapshot.cloned(), anew }
+    pub fn of(save: &StorageUpdate) -> Write {
+        let StorageUpdate { entries, hard_state, snapshot, reset_log } = *save;
+        Write {
+            entries: entries.to_vec(),
+            hard_state: hard_state.cloned(),
+            snapshot: snapshot.cloned(),
+            reset_log,
+        }
     }
 
     /// For the storage.
-    pub fn save(&self) -> Save<'_> {
-        let Write { entries, hard, snapshot, anew } = self;
-        Save { entries, hard: hard.as_ref(), snapshot: snapshot.as_ref(), anew: *anew }
+    pub fn save(&self) -> StorageUpdate<'_> {
+        let Write { entries, hard_state, snapshot, reset_log } = self;
+        StorageUpdate {
+            entries,
+            hard_state: hard_state.as_ref(),
+            snapshot: snapshot.as_ref(),
+            reset_log: *reset_log,
+        }
     }
 }
 
@@ -43,7 +53,7 @@
 
 impl Writer {
     /// Has a thread write to this storage; `done` is notified after each write.
-    pub fn start(storage: impl Keep + Send + 'static, done: Arc<Notify>) -> std::io::Result<Writer> {
+    pub fn start(storage: impl VoterStorage + Send + 'static, done: Arc<Notify>) -> std::io::Result<Writer> {
         let ((writes, to_write), (told, results)) = (channel(), channel());
         let write = move || write_all(storage, &to_write, &told, &done);
         thread::Builder::new().name("group-storage".into()).spawn(write)?;
@@ -53,14 +63,14 @@
 
 /// Writes until a write fails, or the voter is gone. All that waits is one write: a slow disk is not left behind by its voter.
 fn write_all(
-    mut storage: impl Keep,
+    mut storage: impl VoterStorage,
     writes: &Receiver<Write>,
     results: &Sender<Result<u64, String>>,
     done: &Notify,
 ) {
     while let Ok(first) = writes.recv() {
         let batch: Vec<Write> = std::iter::once(first).chain(writes.try_iter()).collect();
-        let saves: Vec<Save> = batch.iter().map(Write::save).collect();
+        let saves: Vec<StorageUpdate> = batch.iter().map(Write::save).collect();
         let result = storage.save_all(&saves);
         let failed = result.is_err();
         let voter_is_gone = results.send(result.map(|()| batch.len() as u64)).is_err();
@@ -71,14 +81,14 @@
     }
 }
 
-impl Keep for Writer {
-    fn save(&mut self, save: Save) -> Result<(), String> {
+impl VoterStorage for Writer {
+    fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
         // Where the thread has ended after a failure the reason is told by `kept`.
         let _ = self.writes.send(Write::of(&save));
         Ok(())
     }
 
-    fn kept(&mut self, _: u64) -> Result<u64, String> {
+    fn persisted(&mut self, _: u64) -> Result<u64, String> {
         loop {
             match self.results.try_recv() {
                 Ok(Ok(more)) => self.kept += more,
