--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -8,7 +8,7 @@
 use super::lease::{LeaseClient, LeaseTerms, TokenFence};
 use super::outbox::{LeaseToken, Outbox};
 use super::record::{Outcome, State};
-use super::voter::{Said, Voter};
+use super::voter::{Outgoing, Voter};
 use super::words::{Act, Answer, Parts, Question, Reply, Wish, Words};
 use crate::api::Micros;
 use crate::failover::evidence::Digest;
@@ -183,10 +183,12 @@
                 self.later(now, &from, version);
             }
             Some(Words::Voters(bytes)) => {
-                let read = self.voter.as_mut().map(|voter| voter.read(&bytes));
+                let read = self.voter.as_mut().map(|voter| voter.handle_message(&bytes));
                 self.junk += u64::from(matches!(read, Some(Err(_))));
             }
-            Some(Words::Beacon(beacon)) => self.voter.iter_mut().for_each(|voter| voter.beacon(&beacon)),
+            Some(Words::Beacon(beacon)) => {
+                self.voter.iter_mut().for_each(|voter| voter.handle_beacon(&beacon))
+            }
             Some(Words::Question(question)) => self.question(question),
             Some(Words::Answer(answer)) => self.answer(now, answer),
             Some(Words::Act(act)) => {
@@ -221,7 +223,7 @@
         let Question { id, from, what } = question;
         let reply = match what {
             Wish::Change(command) => {
-                if self.voter.as_mut().is_some_and(|voter| voter.ask(&from, id, &command)) {
+                if self.voter.as_mut().is_some_and(|voter| voter.request(&from, id, &command)) {
                     return;
                 }
                 Reply::Elsewhere(self.voter.as_ref().and_then(|voter| voter.leader().0.map(Into::into)))
@@ -320,7 +322,7 @@
     pub(super) fn asks(&self) -> Option<&str> {
         if let Some(voter) = &self.voter {
             let me = self.peers.me().name.as_str();
-            let leader = if voter.leads() { Some(me) } else { voter.leader().0 };
+            let leader = if voter.is_ready_leader() { Some(me) } else { voter.leader().0 };
             if leader.is_some() {
                 return leader;
             }
@@ -374,20 +376,20 @@
     }
 
     fn vote(&mut self, now: Micros) {
-        if self.voter.as_ref().is_some_and(|voter| voter.replaced(&self.heard)) {
+        if self.voter.as_ref().is_some_and(|voter| voter.is_replaced(&self.heard)) {
             self.voter = None;
             self.report(Event::Silenced("another has its place in the record".into()));
         }
         // Answers to itself may let the voter say more.
         for _ in 0..2 {
             let Some(voter) = &mut self.voter else { return };
-            match voter.turn(now) {
+            match voter.poll(now) {
                 Ok(said) => {
                     for said in said {
                         match said {
-                            Said::Message { to, bytes } => self.say(&to, &Words::Voters(bytes)),
-                            Said::Beacon { to, beacon } => self.say(&to, &Words::Beacon(beacon)),
-                            Said::Answer { to, id, outcome } => {
+                            Outgoing::Message { to, bytes } => self.say(&to, &Words::Voters(bytes)),
+                            Outgoing::Beacon { to, beacon } => self.say(&to, &Words::Beacon(beacon)),
+                            Outgoing::Answer { to, id, outcome } => {
                                 self.reply(&to, Answer { id, what: Reply::Outcome(outcome) });
                             }
                         }
@@ -530,7 +532,7 @@
         if let Some(voter) = &self.voter {
             let (leader, term) = voter.leader();
             let _ = write!(text, "leader {} term={term}\r\n", leader.unwrap_or("none"));
-            let _ = write!(text, "place {}\r\n", if voter.seated() { "ours" } else { "asked for" });
+            let _ = write!(text, "place {}\r\n", if voter.is_member() { "ours" } else { "asked for" });
         }
         let record = self.record();
         let (version, tokens, pages) = (record.version, record.last_token, record.last_page);
--- a/src/group/voter.rs
+++ b/src/group/voter.rs
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Between two ticks of the protocol; ten without a word, and another stands for election.
-pub const TICK: Micros = 100_000;
+pub const TICK_INTERVAL: Micros = 100_000;
 /// After so many decided commands the log is cut and a snapshot takes its place.
 const CUT: u64 = 500;
 /// The most bytes of entries in one message, so that it fits a datagram.
@@ -70,11 +70,12 @@
 
 /// How far a voter's folder has come: told to the others, who say so when they have heard of more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Far {
+pub struct FolderProgress {
     /// The latest term that it has kept.
     pub term: u64,
     /// The last that it has kept as decided.
-    pub decided: u64,
+    #[serde(rename = "decided")]
+    pub committed: u64,
 }
 
 /// What a voter tells the others of its folder now and then, and asks them at its start.
@@ -85,16 +86,18 @@
     /// The folder's number.
     pub id: u64,
     /// How far it has come.
-    pub far: Far,
+    #[serde(rename = "far")]
+    pub progress: FolderProgress,
     /// In an answer: what was heard of the folder with this number.
-    pub heard: Option<(u64, Far)>,
+    pub heard: Option<(u64, FolderProgress)>,
     /// It wants to be let in, in this one's place.
-    pub instead: Option<String>,
+    #[serde(rename = "instead")]
+    pub replaces: Option<String>,
 }
 
 /// What a voter wants said.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Outgoing {
     /// To another voter.
     Beacon {
         /// Its name.
@@ -137,7 +140,7 @@
     /// Up to where a snapshot in it is applied.
     snapshot: Option<u64>,
     /// How far the storage has come with it.
-    far: Option<Far>,
+    far: Option<FolderProgress>,
 }
 
 /// One voter.
@@ -157,8 +160,8 @@
     state: State,
     terms: LeaseTerms,
     /// How far its folder has come, and how far the others say that theirs have.
-    far: Far,
-    heard: BTreeMap<u64, Far>,
+    far: FolderProgress,
+    heard: BTreeMap<u64, FolderProgress>,
     /// Others that have answered it since its start; none once it is in.
     answered: Option<Vec<u64>>,
     told: Micros,
@@ -176,7 +179,7 @@
     applied: u64,
     /// The leader's folder and the term when they were logged last.
     known_leader: (u64, u64),
-    said: Vec<Said>,
+    said: Vec<Outgoing>,
 }
 
 impl<K: VoterStorage> Voter<K> {
@@ -241,7 +244,7 @@
             instead: kept.replaces,
             state,
             terms,
-            far: Far { term: kept.hard_state.term, decided: kept.hard_state.commit },
+            far: FolderProgress { term: kept.hard_state.term, committed: kept.hard_state.commit },
             heard: BTreeMap::new(),
             answered: Some(Vec::new()),
             told: 0,
@@ -264,7 +267,7 @@
     }
 
     /// Whether it leads, and the record is whole here.
-    pub fn leads(&self) -> bool {
+    pub fn is_ready_leader(&self) -> bool {
         self.watch.is_some()
     }
 
@@ -282,13 +285,13 @@
         let me = self.node.raft.id;
         let all = self.state.voters.keys().copied();
         let matched = |id: &u64| self.node.raft.prs().get(*id).map_or(0, |progress| progress.matched);
-        let (other, leads) = (all.filter(|&id| id != me).max_by_key(matched), self.leads());
+        let (other, leads) = (all.filter(|&id| id != me).max_by_key(matched), self.is_ready_leader());
         other.filter(|_| leads).into_iter().for_each(|id| self.node.transfer_leader(id));
         leads
     }
 
     /// A message from another voter.
-    pub fn read(&mut self, bytes: &[u8]) -> Result<(), String> {
+    pub fn handle_message(&mut self, bytes: &[u8]) -> Result<(), String> {
         let message = Message::parse_from_bytes(bytes).map_err(|e| e.to_string())?;
         if message.to != self.node.raft.id {
             return Err("is for another group".into());
@@ -301,7 +304,7 @@
     }
 
     /// Another voter told how far its folder has come; what it has heard of this one may stand beside.
-    pub fn beacon(&mut self, beacon: &Beacon) {
+    pub fn handle_beacon(&mut self, beacon: &Beacon) {
         if beacon.id == self.node.raft.id {
             return;
         }
@@ -326,12 +329,12 @@
         }
         if self.heard.len() < 64 || self.heard.contains_key(&beacon.id) {
             let heard = self.heard.entry(beacon.id).or_default();
-            *heard = beacon.far.max(*heard);
+            *heard = beacon.progress.max(*heard);
             // An answer is not answered.
             if beacon.heard.is_none() {
                 let heard = Some((beacon.id, *heard));
                 let answer = Beacon { heard, ..self.own() };
-                self.said.push(Said::Beacon { to: beacon.name.clone(), beacon: answer });
+                self.said.push(Outgoing::Beacon { to: beacon.name.clone(), beacon: answer });
             }
         }
         self.let_in(beacon);
@@ -339,13 +342,13 @@
 
     fn own(&self) -> Beacon {
         let id = self.node.raft.id;
-        let instead = self.instead.clone().filter(|_| !self.seated());
-        Beacon { name: self.me.clone(), id, far: self.far, heard: None, instead }
+        let instead = self.instead.clone().filter(|_| !self.is_member());
+        Beacon { name: self.me.clone(), id, progress: self.far, heard: None, replaces: instead }
     }
 
     /// Whoever wants a place takes it from the one that had it, in one step that both majorities keep.
     fn let_in(&mut self, beacon: &Beacon) {
-        let Some(instead) = beacon.instead.as_ref().filter(|_| self.leads()) else { return };
+        let Some(instead) = beacon.replaces.as_ref().filter(|_| self.is_ready_leader()) else { return };
         let had = |(_, name): &(&u64, &String)| *name == instead;
         let (seats, me) = (&self.state.voters, self.node.raft.id);
         let twice = seats.contains_key(&beacon.id)
@@ -369,8 +372,8 @@
     }
 
     /// Somebody wants the record changed. `false`: this voter does not lead, ask another.
-    pub fn ask(&mut self, from: &str, id: u64, command: &Command) -> bool {
-        self.leads() && self.propose(command, Some((from.into(), id)))
+    pub fn request(&mut self, from: &str, id: u64, command: &Command) -> bool {
+        self.is_ready_leader() && self.propose(command, Some((from.into(), id)))
     }
 
     fn propose(&mut self, command: &Command, from: Option<(String, u64)>) -> bool {
@@ -389,7 +392,7 @@
 
     /// Tells the others how far this folder has come; whether this voter is in.
     fn tells(&mut self, now: Micros) -> bool {
-        let every = if self.answered.is_some() || self.own().instead.is_some() { ASKING } else { BEACON };
+        let every = if self.answered.is_some() || self.own().replaces.is_some() { ASKING } else { BEACON };
         if now >= self.told + every {
             self.told = now;
             let (me, beacon) = (self.node.raft.id, self.own());
@@ -398,7 +401,8 @@
             let mut names: Vec<&String> = names.chain(&self.others).collect();
             names.sort();
             names.dedup();
-            let said = names.into_iter().map(|to| Said::Beacon { to: to.clone(), beacon: beacon.clone() });
+            let said =
+                names.into_iter().map(|to| Outgoing::Beacon { to: to.clone(), beacon: beacon.clone() });
             self.said.extend(said);
         }
         if let Some(answered) = &self.answered {
@@ -413,7 +417,7 @@
     }
 
     /// Does what is due; what is to be said afterwards. After an error this voter must be dropped.
-    pub fn turn(&mut self, now: Micros) -> Result<Vec<Said>, String> {
+    pub fn poll(&mut self, now: Micros) -> Result<Vec<Outgoing>, String> {
         let inside = self.tells(now);
         if let Some(wrong) = self.wrong.take() {
             return Err(wrong);
@@ -423,13 +427,13 @@
             return Ok(std::mem::take(&mut self.said));
         }
         // One that was stopped does not make up for all of it at once.
-        self.ticked = self.ticked.max(now.saturating_sub(3 * TICK));
-        while now >= self.ticked + TICK {
-            self.ticked += TICK;
+        self.ticked = self.ticked.max(now.saturating_sub(3 * TICK_INTERVAL));
+        while now >= self.ticked + TICK_INTERVAL {
+            self.ticked += TICK_INTERVAL;
             self.node.tick();
         }
         self.settle(now)?;
-        if now >= self.freed + TICK {
+        if now >= self.freed + TICK_INTERVAL {
             self.freed = now;
             let over = match &mut self.watch {
                 Some(watch) => watch.expired(now, &self.terms, &self.state),
@@ -516,7 +520,9 @@
             step: ready.number(),
             promises: ready.take_persisted_messages(),
             snapshot: snapshot.map(|snapshot| snapshot.get_metadata().index),
-            far: hard.filter(|_| written).map(|hard| Far { term: hard.term, decided: hard.commit }),
+            far: hard
+                .filter(|_| written)
+                .map(|hard| FolderProgress { term: hard.term, committed: hard.commit }),
         });
         let decided = ready.take_committed_entries();
         self.node.advance_append_async(ready);
@@ -570,7 +576,7 @@
         for message in messages {
             let to = self.name(message.to).map(String::from);
             if let Some((to, bytes)) = to.zip(message.write_to_bytes().ok()) {
-                self.said.push(Said::Message { to, bytes });
+                self.said.push(Outgoing::Message { to, bytes });
             }
         }
     }
@@ -589,7 +595,7 @@
                 let mark = <[u8; 8]>::try_from(&entry.context[..]).map(u64::from_le_bytes);
                 if let Some((to, id)) = mark.ok().filter(|_| leads).and_then(|mark| self.waits.remove(&mark))
                 {
-                    self.said.push(Said::Answer { to, id, outcome });
+                    self.said.push(Outgoing::Answer { to, id, outcome });
                 }
             }
             if leads && self.watch.is_none() {
@@ -614,14 +620,14 @@
     }
 
     /// Whether its folder is among the voters, and those of the change before it are needed no more.
-    pub fn seated(&self) -> bool {
+    pub fn is_member(&self) -> bool {
         let over = self.node.raft.prs().conf().to_conf_state().voters_outgoing.is_empty();
         over && self.state.voters.contains_key(&self.node.raft.id)
     }
 
     /// Whether another has its place now, by a record that is as late as its own or later.
-    pub fn replaced(&self, record: &State) -> bool {
-        let had = self.instead.is_none() || self.seated();
+    pub fn is_replaced(&self, record: &State) -> bool {
+        let had = self.instead.is_none() || self.is_member();
         had && record.version >= self.state.version && !record.voters.contains_key(&self.node.raft.id)
     }
 
--- a/src/group/voter_search.rs
+++ b/src/group/voter_search.rs
@@ -41,12 +41,12 @@
     let later = net.voters[net.leader().unwrap()].as_ref().unwrap().state().clone();
     let keep = Memory::new(old.clone());
     let mut ghost = Voter::new(net.now, &name, &net.names, net.terms, keep, old).unwrap();
-    assert!(ghost.replaced(&later) && !net.voters[lost].as_ref().unwrap().replaced(&later));
+    assert!(ghost.is_replaced(&later) && !net.voters[lost].as_ref().unwrap().is_replaced(&later));
     for n in 0..200 {
-        for said in ghost.turn(net.now + n * 100_000).unwrap_or_default() {
-            assert!(!matches!(said, Said::Answer { .. }), "{said:?}");
+        for said in ghost.poll(net.now + n * 100_000).unwrap_or_default() {
+            assert!(!matches!(said, Outgoing::Answer { .. }), "{said:?}");
         }
-        assert!(!ghost.leads());
+        assert!(!ghost.is_ready_leader());
     }
 }
 
@@ -315,7 +315,7 @@
                 n += 1;
                 asks.insert(n, (i, id));
                 if let Some(l) = net.leader() {
-                    net.voters[l].as_mut().unwrap().ask("h", n, &command);
+                    net.voters[l].as_mut().unwrap().request("h", n, &command);
                 }
             }
             let acts = about[i].take().or(holder.active_token(now));
--- a/src/group/voter_tests.rs
+++ b/src/group/voter_tests.rs
@@ -150,12 +150,12 @@
         self.now += span;
         self.waits.iter_mut().for_each(|wait| wait.0 -= 1);
         for (_, j, bytes) in self.waits.extract_if(.., |wait| wait.0 == 0) {
-            self.voters[j].iter_mut().for_each(|voter| drop(voter.read(&bytes)));
+            self.voters[j].iter_mut().for_each(|voter| drop(voter.handle_message(&bytes)));
         }
         for i in 0..self.voters.len() {
             let now = self.clock(i);
             let Some(voter) = &mut self.voters[i] else { continue };
-            let said = match voter.turn(now) {
+            let said = match voter.poll(now) {
                 Ok(said) => said,
                 Err(why) => {
                     self.voters[i] = None;
@@ -165,14 +165,14 @@
             };
             for said in said {
                 match said {
-                    Said::Answer { to, id, outcome } => self.answers.push((to, id, outcome)),
-                    Said::Beacon { to, beacon } => {
+                    Outgoing::Answer { to, id, outcome } => self.answers.push((to, id, outcome)),
+                    Outgoing::Beacon { to, beacon } => {
                         let j = self.names.iter().position(|name| *name == to).unwrap();
                         if self.cut.contains(&i) == self.cut.contains(&j) {
-                            self.voters[j].iter_mut().for_each(|voter| voter.beacon(&beacon));
+                            self.voters[j].iter_mut().for_each(|voter| voter.handle_beacon(&beacon));
                         }
                     }
-                    Said::Message { to, bytes } => {
+                    Outgoing::Message { to, bytes } => {
                         assert!(bytes.len() < 1_300, "{} bytes", bytes.len());
                         let j = self.names.iter().position(|name| *name == to).unwrap();
                         let (draw, cut) = (self.draw() % 100, self.cut.contains(&i) != self.cut.contains(&j));
@@ -186,7 +186,7 @@
                             continue;
                         }
                         (0..times).for_each(|_| {
-                            self.voters[j].iter_mut().for_each(|voter| drop(voter.read(&bytes)));
+                            self.voters[j].iter_mut().for_each(|voter| drop(voter.handle_message(&bytes)));
                         });
                     }
                 }
@@ -195,7 +195,7 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |i: &usize| self.voters[*i].as_ref().is_some_and(Voter::leads);
+        let leads = |i: &usize| self.voters[*i].as_ref().is_some_and(Voter::is_ready_leader);
         (0..self.voters.len()).filter(leads).max_by_key(|&i| self.voters[i].as_ref().unwrap().leader().1)
     }
 
@@ -214,7 +214,7 @@
             if net.now >= asked {
                 asked = net.now + 1_000_000;
                 if let Some(leader) = net.leader() {
-                    net.voters[leader].as_mut().unwrap().ask("me", id, &command);
+                    net.voters[leader].as_mut().unwrap().request("me", id, &command);
                 }
             }
             net.answers.iter().any(|a| a.1 == id)
@@ -269,7 +269,7 @@
     net.cut = vec![net.leader().unwrap()];
     for _ in 0..500 {
         if let Some(leader) = net.leader() {
-            net.voters[leader].as_mut().unwrap().ask("me", 99, &acquire("y"));
+            net.voters[leader].as_mut().unwrap().request("me", 99, &acquire("y"));
         }
         net.step();
     }
@@ -348,7 +348,7 @@
                     let at = net.now;
                     if let Some((_, give)) = holder.release(at, 500_000) {
                         net.leader().into_iter().for_each(|l| {
-                            net.voters[l].as_mut().unwrap().ask("h", 0, &give);
+                            net.voters[l].as_mut().unwrap().request("h", 0, &give);
                         });
                     }
                 }
@@ -356,7 +356,7 @@
                     n += 1;
                     asks.insert(n, (i, id));
                     net.leader().into_iter().for_each(|l| {
-                        net.voters[l].as_mut().unwrap().ask("h", n, &command);
+                        net.voters[l].as_mut().unwrap().request("h", n, &command);
                     });
                 }
             }
@@ -396,17 +396,17 @@
         let (folder, kept) = VoterFolder::open(&at, "v0").unwrap();
         let mut voter = Voter::new(0, "v0", &names, TERMS, folder, kept).unwrap();
         let mut now = 0;
-        while !voter.leads() {
-            now += TICK;
-            voter.turn(now).unwrap();
+        while !voter.is_ready_leader() {
+            now += TICK_INTERVAL;
+            voter.poll(now).unwrap();
         }
         assert_eq!(voter.state().last_token, granted, "round {round}");
-        assert!(voter.ask("me", 1, &acquire("x")));
-        voter.turn(now).unwrap();
+        assert!(voter.request("me", 1, &acquire("x")));
+        voter.poll(now).unwrap();
         let Some(lease) = voter.state().leases.get("t").cloned() else { panic!("not decided") };
         granted = lease.token;
-        voter.ask("me", 2, &Command::Return { task: "t".into(), token: granted });
-        voter.turn(now).unwrap();
+        voter.request("me", 2, &Command::Return { task: "t".into(), token: granted });
+        voter.poll(now).unwrap();
     }
     assert_eq!(granted, 3);
     // Torn in mid-write: the file is cut short. It is good or refused, never wrong.
