--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -4,11 +4,11 @@
 //! leaves the [`Outbox`]; what it knows of the record is never older than what it knew before. A datagram that cannot be read is counted and changes nothing.
 
 use super::account::{Book, Page};
-use super::folder::Keep;
-use super::lease::{Gate, Holder, Terms};
+use super::folder::VoterStorage;
+use super::lease::{LeaseClient, LeaseTerms, TokenFence};
 use super::outbox::{LeaseToken, Outbox};
 use super::record::{Outcome, State};
-use super::voter::{Said, Voter};
+use super::voter::{Outgoing, Voter};
 use super::words::{Act, Answer, Parts, Question, Reply, Wish, Words};
 use crate::api::Micros;
 use crate::failover::evidence::Digest;
@@ -76,12 +76,12 @@
     voter: Option<Voter<K>>,
     /// The record as last heard, where it does not vote itself.
     heard: State,
-    terms: Terms,
+    terms: LeaseTerms,
     pub(super) duties: Duties,
-    holders: BTreeMap<String, Holder>,
+    holders: BTreeMap<String, LeaseClient>,
     /// Under which token it acts, since when, and when it told of it last.
     acting: BTreeMap<String, (u64, Micros, Micros)>,
-    gate: Gate,
+    gate: TokenFence,
     /// Whom to ask: the voter that led when last heard of, else one after the other.
     ask: usize,
     /// Questions that are out.
@@ -104,21 +104,21 @@
     pub junk: u64,
 }
 
-impl<K: Keep> Member<K> {
+impl<K: VoterStorage> Member<K> {
     /// One with these duties.
     pub fn new(
         now: Micros,
         peers: Peers,
         voters: &[String],
         voter: Option<Voter<K>>,
-        terms: Terms,
+        terms: LeaseTerms,
         duties: Duties,
     ) -> Member<K> {
         let mut voters = voters.to_vec();
         voters.sort();
         // A name may be taken over by a later process: what the older one holds is not the later one's.
         let me = format!("{}#{}", peers.me().name, peers.me().started);
-        let holder = |task: &String| (task.clone(), Holder::new(now, terms, task, &me));
+        let holder = |task: &String| (task.clone(), LeaseClient::new(now, terms, task, &me));
         Member {
             voters,
             voter,
@@ -127,7 +127,7 @@
             holders: duties.tasks.iter().map(holder).collect(),
             duties,
             acting: BTreeMap::new(),
-            gate: Gate::default(),
+            gate: TokenFence::default(),
             ask: peers.me().started as usize,
             asked: BTreeMap::new(),
             questions: 0,
@@ -161,13 +161,16 @@
 
     /// The token under which an act on this task may begin now.
     pub fn acts(&self, now: Micros, task: &str) -> Option<u64> {
-        self.holders.get(task)?.acts(now).filter(|token| self.acting.get(task).is_some_and(|a| a.0 == *token))
+        self.holders
+            .get(task)?
+            .active_token(now)
+            .filter(|token| self.acting.get(task).is_some_and(|a| a.0 == *token))
     }
 
     /// For how long acts on this task may still begin, in microseconds; 0 where none may.
     pub fn lease_left(&self, now: Micros, task: &str) -> Micros {
         match self.acts(now, task) {
-            Some(_) => self.holders.get(task).map_or(0, |holder| holder.left(now)),
+            Some(_) => self.holders.get(task).map_or(0, |holder| holder.remaining(now)),
             None => 0,
         }
     }
@@ -180,14 +183,16 @@
                 self.later(now, &from, version);
             }
             Some(Words::Voters(bytes)) => {
-                let read = self.voter.as_mut().map(|voter| voter.read(&bytes));
+                let read = self.voter.as_mut().map(|voter| voter.handle_message(&bytes));
                 self.junk += u64::from(matches!(read, Some(Err(_))));
             }
-            Some(Words::Beacon(beacon)) => self.voter.iter_mut().for_each(|voter| voter.beacon(&beacon)),
+            Some(Words::Beacon(beacon)) => {
+                self.voter.iter_mut().for_each(|voter| voter.handle_beacon(&beacon))
+            }
             Some(Words::Question(question)) => self.question(question),
             Some(Words::Answer(answer)) => self.answer(now, answer),
             Some(Words::Act(act)) => {
-                let passes = self.gate.passes(&act.task, act.token);
+                let passes = self.gate.admits(&act.task, act.token);
                 self.report(Event::Act(act, passes));
             }
             Some(Words::Report(report)) => self.book.take(now, report),
@@ -218,7 +223,7 @@
         let Question { id, from, what } = question;
         let reply = match what {
             Wish::Change(command) => {
-                if self.voter.as_mut().is_some_and(|voter| voter.ask(&from, id, &command)) {
+                if self.voter.as_mut().is_some_and(|voter| voter.request(&from, id, &command)) {
                     return;
                 }
                 Reply::Elsewhere(self.voter.as_ref().and_then(|voter| voter.leader().0.map(Into::into)))
@@ -253,7 +258,7 @@
             }
             Reply::Outcome(outcome) => match asked {
                 Some(Asked::Lease(task, id)) => {
-                    self.holders.entry(task).and_modify(|holder| holder.answer(now, id, &outcome));
+                    self.holders.entry(task).and_modify(|holder| holder.handle_outcome(now, id, &outcome));
                 }
                 Some(Asked::Page(page)) if outcome == Outcome::Done => self.write(now, page),
                 _ => {}
@@ -265,8 +270,8 @@
             }
             Reply::Record(state) if state.version > self.heard.version => {
                 // The voters are those of the record, whatever the file says.
-                if !state.seats.is_empty() {
-                    self.voters = state.seats.values().cloned().collect();
+                if !state.voters.is_empty() {
+                    self.voters = state.voters.values().cloned().collect();
                 }
                 self.heard = state;
             }
@@ -317,7 +322,7 @@
     pub(super) fn asks(&self) -> Option<&str> {
         if let Some(voter) = &self.voter {
             let me = self.peers.me().name.as_str();
-            let leader = if voter.leads() { Some(me) } else { voter.leader().0 };
+            let leader = if voter.is_ready_leader() { Some(me) } else { voter.leader().0 };
             if leader.is_some() {
                 return leader;
             }
@@ -371,20 +376,20 @@
     }
 
     fn vote(&mut self, now: Micros) {
-        if self.voter.as_ref().is_some_and(|voter| voter.replaced(&self.heard)) {
+        if self.voter.as_ref().is_some_and(|voter| voter.is_replaced(&self.heard)) {
             self.voter = None;
             self.report(Event::Silenced("another has its place in the record".into()));
         }
         // Answers to itself may let the voter say more.
         for _ in 0..2 {
             let Some(voter) = &mut self.voter else { return };
-            match voter.turn(now) {
+            match voter.poll(now) {
                 Ok(said) => {
                     for said in said {
                         match said {
-                            Said::Message { to, bytes } => self.say(&to, &Words::Voters(bytes)),
-                            Said::Beacon { to, beacon } => self.say(&to, &Words::Beacon(beacon)),
-                            Said::Answer { to, id, outcome } => {
+                            Outgoing::Message { to, bytes } => self.say(&to, &Words::Voters(bytes)),
+                            Outgoing::Beacon { to, beacon } => self.say(&to, &Words::Beacon(beacon)),
+                            Outgoing::Answer { to, id, outcome } => {
                                 self.reply(&to, Answer { id, what: Reply::Outcome(outcome) });
                             }
                         }
@@ -401,8 +406,8 @@
 
     fn task(&mut self, now: Micros, task: &str) {
         let Some(holder) = self.holders.get_mut(task) else { return };
-        let asks = holder.turn(now);
-        let may = holder.acts(now);
+        let asks = holder.next_request(now);
+        let may = holder.active_token(now);
         if let Some((id, command)) = asks {
             // Whoever did not answer in a sixth of a span is not asked again at once.
             let out = |asked: &Asked| matches!(asked, Asked::Lease(of, _) if of == task);
@@ -443,14 +448,14 @@
         for member in members.iter().filter(|member| member.name != act.holder) {
             self.send(Some(&lease), &member.name, &Words::Act(act.clone()));
         }
-        let passes = self.gate.passes(task, token);
+        let passes = self.gate.admits(task, token);
         self.events.push(Some(lease), Event::Act(act, passes));
     }
 
     /// Stops acting on a task, and lets another have it.
     pub fn give_back(&mut self, now: Micros, task: &str) {
-        let (rest, Some(holder)) = (self.terms.span / 2, self.holders.get_mut(task)) else { return };
-        if let Some((id, command)) = holder.give_back(now, rest) {
+        let (rest, Some(holder)) = (self.terms.duration / 2, self.holders.get_mut(task)) else { return };
+        if let Some((id, command)) = holder.release(now, rest) {
             self.wish(Wish::Change(command), Some(Asked::Lease(task.into(), id)));
         }
         if let Some((token, _, _)) = self.acting.remove(task) {
@@ -516,7 +521,7 @@
         for m in self.peers.members() {
             let (drains, voter) = (
                 if m.drains { " drains" } else { "" },
-                if self.record().seats.values().any(|name| *name == m.name) { " voter" } else { "" },
+                if self.record().voters.values().any(|name| *name == m.name) { " voter" } else { "" },
             );
             let _ = write!(
                 text,
@@ -527,14 +532,14 @@
         if let Some(voter) = &self.voter {
             let (leader, term) = voter.leader();
             let _ = write!(text, "leader {} term={term}\r\n", leader.unwrap_or("none"));
-            let _ = write!(text, "place {}\r\n", if voter.seated() { "ours" } else { "asked for" });
+            let _ = write!(text, "place {}\r\n", if voter.is_member() { "ours" } else { "asked for" });
         }
         let record = self.record();
-        let (version, tokens, pages) = (record.version, record.tokens, record.pages);
+        let (version, tokens, pages) = (record.version, record.last_token, record.last_page);
         let _ = write!(text, "record version={version} tokens={tokens} pages={pages}\r\n");
         for (task, lease) in &record.leases {
             let holder = lease.holder.as_deref().map_or("none", |h| h.split('#').next().unwrap_or(h));
-            let left = self.holders.get(task).map_or(0, |h| h.left(now)) / 1_000;
+            let left = self.holders.get(task).map_or(0, |h| h.remaining(now)) / 1_000;
             let left = if left > 0 { format!(" left={left}ms") } else { String::new() };
             let _ = write!(text, "lease {task} holder={holder} token={}{left}\r\n", lease.token);
         }
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -2,20 +2,20 @@
 
 use super::*;
 use crate::contracts::row::Row;
-use crate::group::folder::{Kept, Save};
+use crate::group::folder::{StorageUpdate, StoredVoter};
 use crate::group::ACCOUNT;
 use crate::peers;
 
 /// A folder that keeps nothing: no voter stops here.
 struct Nowhere;
 
-impl Keep for Nowhere {
-    fn save(&mut self, _: Save) -> Result<(), String> {
+impl VoterStorage for Nowhere {
+    fn save(&mut self, _: StorageUpdate) -> Result<(), String> {
         Ok(())
     }
 }
 
-const TERMS: Terms = Terms { span: 6_000_000, drift: 10_000 };
+const TERMS: LeaseTerms = LeaseTerms { duration: 6_000_000, drift_ppm: 10_000 };
 const SECOND: Micros = 1_000_000;
 
 struct Net {
@@ -49,7 +49,7 @@
             let book = (0..3).filter(|&j| j != i).map(|j| (names[j].clone(), address(j))).collect();
             let peers = Peers::new(me, book, SECOND, ONE - 80, i as u64);
             let voter = names.get(i).map(|name| {
-                Voter::new(0, name, &names, TERMS, Nowhere, Kept::founder(name, &names)).unwrap()
+                Voter::new(0, name, &names, TERMS, Nowhere, StoredVoter::for_new_group(name, &names)).unwrap()
             });
             let tasks = if i < wants { vec!["rebalance".into(), ACCOUNT.into()] } else { Vec::new() };
             let duties = Duties { tasks, turn: 60 * SECOND, account: 2 * SECOND };
@@ -105,9 +105,9 @@
             _ => None,
         });
         // One lets go: how long until everybody knows of the next.
-        let (now, token) = (net.now, net.all[0].record().tokens);
+        let (now, token) = (net.now, net.all[0].record().last_token);
         net.all[holder.unwrap()].give_back(now, "rebalance");
-        let whole = |net: &Net| net.all.iter().all(|m| m.record().tokens > token);
+        let whole = |net: &Net| net.all.iter().all(|m| m.record().last_token > token);
         while !whole(&net) {
             assert!(net.now < now + 20 * SECOND, "{n}: not all have heard");
             net.run(50_000);
@@ -124,14 +124,14 @@
 fn what_a_voter_proposes_is_decided_also_where_it_does_not_lead() {
     let mut net = Net::new(5, 3);
     net.run(10 * SECOND);
-    let mut proposed = net.all[0].record().ordered;
+    let mut proposed = net.all[0].record().last_order;
     for round in 0..40 {
         for i in 0..3 {
             net.all[i].order("z", Some(crate::failover::plan::OrderKind::Hold), 1_000);
             proposed += 1;
             net.run(350_000);
             assert_eq!(
-                net.all[i].record().ordered,
+                net.all[i].record().last_order,
                 proposed,
                 "round {round}: n{i} asks {:?}",
                 net.all[i].asks()
@@ -189,7 +189,7 @@
     member.turn(decided);
     assert!(member.acts(decided, "rebalance").is_some(), "the decision was made under the lease");
 
-    let continued = decided + TERMS.span;
+    let continued = decided + TERMS.duration;
     let sent: Vec<_> = std::iter::from_fn(|| member.next_message(continued)).collect();
     let acts = sent.iter().filter(|(_, bytes)| matches!(Words::read(bytes), Some(Words::Act(_))));
     assert_eq!(acts.count(), 0, "acts that were sent after the lease had ended");
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -3,7 +3,7 @@
 
 #[cfg(feature = "failpoints")]
 use super::failpoint::StopBeforeAct;
-use super::folder::Folder;
+use super::folder::VoterFolder;
 use super::lease;
 use super::member::{Duties, Event, Member};
 use super::record;
@@ -33,7 +33,7 @@
 /// Datagrams that are read before the next turn, at most: a flood of them does not hold up clients for more than milliseconds.
 const BATCH: usize = 128;
 /// What stands before the membership's own words in a datagram, at most.
-const HEAD: usize = 2 + record::LONGEST + 8;
+const HEAD: usize = 2 + record::MAX_NAME_BYTES + 8;
 /// The target of what the maker of plans was told; `oakdeal zones plan` reads it.
 pub const EVIDENCE: &str = "oakdeal::evidence";
 /// Between two reports for the fleet's account, in microseconds.
@@ -147,13 +147,13 @@
         let said = |what: String| format!("[group]: {what}");
         let seal = Seal::read(&settings.key).map_err(said)?;
         let clock = Clock::new();
-        let terms = lease::Terms { span: settings.span, drift: settings.drift };
+        let terms = lease::LeaseTerms { duration: settings.span, drift_ppm: settings.drift };
         let mut voter = None;
         let kept_notify = Arc::new(Notify::new());
         if settings.voters.iter().any(|voter| voter == name) {
             let folder =
                 settings.folder.as_ref().ok_or_else(|| said(format!("{name} votes: give it a `folder`")))?;
-            match Folder::open(folder, name) {
+            match VoterFolder::open(folder, name) {
                 Ok((folder, kept)) => {
                     let others = &settings.voters;
                     let writer =
--- a/src/group/voter.rs
+++ b/src/group/voter.rs
@@ -4,8 +4,8 @@
 //! Promised: an answer is given only for what a majority has kept. Where its folder fails, is older than what it has promised
 //! from it ([`Beacon`]), or another has its place, a voter says nothing more.
 
-use super::folder::{Keep, Kept, Save};
-use super::lease::{Terms, Watch};
+use super::folder::{StorageUpdate, StoredVoter, VoterStorage};
+use super::lease::{LeaseMonitor, LeaseTerms};
 use super::record::{Command, Outcome, State};
 use crate::api::Micros;
 use protobuf::Message as _;
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Between two ticks of the protocol; ten without a word, and another stands for election.
-pub const TICK: Micros = 100_000;
+pub const TICK_INTERVAL: Micros = 100_000;
 /// After so many decided commands the log is cut and a snapshot takes its place.
 const CUT: u64 = 500;
 /// The most bytes of entries in one message, so that it fits a datagram.
@@ -70,11 +70,12 @@
 
 /// How far a voter's folder has come: told to the others, who say so when they have heard of more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Far {
+pub struct FolderProgress {
     /// The latest term that it has kept.
     pub term: u64,
     /// The last that it has kept as decided.
-    pub decided: u64,
+    #[serde(rename = "decided")]
+    pub committed: u64,
 }
 
 /// What a voter tells the others of its folder now and then, and asks them at its start.
@@ -85,16 +86,18 @@
     /// The folder's number.
     pub id: u64,
     /// How far it has come.
-    pub far: Far,
+    #[serde(rename = "far")]
+    pub progress: FolderProgress,
     /// In an answer: what was heard of the folder with this number.
-    pub heard: Option<(u64, Far)>,
+    pub heard: Option<(u64, FolderProgress)>,
     /// It wants to be let in, in this one's place.
-    pub instead: Option<String>,
+    #[serde(rename = "instead")]
+    pub replaces: Option<String>,
 }
 
 /// What a voter wants said.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Outgoing {
     /// To another voter.
     Beacon {
         /// Its name.
@@ -137,7 +140,7 @@
     /// Up to where a snapshot in it is applied.
     snapshot: Option<u64>,
     /// How far the storage has come with it.
-    far: Option<Far>,
+    far: Option<FolderProgress>,
 }
 
 /// One voter.
@@ -155,10 +158,10 @@
     kept_hard: HardState,
     instead: Option<String>,
     state: State,
-    terms: Terms,
+    terms: LeaseTerms,
     /// How far its folder has come, and how far the others say that theirs have.
-    far: Far,
-    heard: BTreeMap<u64, Far>,
+    far: FolderProgress,
+    heard: BTreeMap<u64, FolderProgress>,
     /// Others that have answered it since its start; none once it is in.
     answered: Option<Vec<u64>>,
     told: Micros,
@@ -167,7 +170,7 @@
     /// Why it must not go on.
     wrong: Option<String>,
     /// What it looks after while it leads, and every command of the leaders before it is in the state.
-    watch: Option<Watch>,
+    watch: Option<LeaseMonitor>,
     /// Who asked what was proposed here and is not decided, by the number in the entry.
     waits: BTreeMap<u64, (String, u64)>,
     proposed: u64,
@@ -176,19 +179,19 @@
     applied: u64,
     /// The leader's folder and the term when they were logged last.
     known_leader: (u64, u64),
-    said: Vec<Said>,
+    said: Vec<Outgoing>,
 }
 
-impl<K: Keep> Voter<K> {
+impl<K: VoterStorage> Voter<K> {
     /// The voter of this name, with what it has kept.
     /// `others`: who is asked at first.
     pub fn new(
         now: Micros,
         me: &str,
         others: &[String],
-        terms: Terms,
+        terms: LeaseTerms,
         keep: K,
-        kept: Kept,
+        kept: StoredVoter,
     ) -> Result<Voter<K>, String> {
         let told = |e: raft::Error| e.to_string();
         let memory = MemStorage::new();
@@ -196,15 +199,15 @@
         {
             let mut log = memory.wl();
             if kept.snapshot.get_metadata().index > 0 {
-                state = State::read(&kept.snapshot.data)
+                state = State::decode(&kept.snapshot.data)
                     .ok_or("its snapshot cannot be read: a newer program wrote it")?;
                 applied = kept.snapshot.get_metadata().index;
                 log.apply_snapshot(kept.snapshot.clone()).map_err(told)?;
             }
             let behind: Vec<Entry> = kept.entries.iter().filter(|e| e.index > applied).cloned().collect();
             log.append(&behind).map_err(told)?;
-            if kept.hard.term > 0 {
-                let mut hard = kept.hard.clone();
+            if kept.hard_state.term > 0 {
+                let mut hard = kept.hard_state.clone();
                 hard.commit = hard.commit.max(applied);
                 log.set_hardstate(hard);
             }
@@ -213,7 +216,7 @@
         let rank = kept.snapshot.get_metadata().get_conf_state().voters.iter().filter(|id| **id < kept.id);
         let first = 10 + 3 * rank.count();
         let (min_election_tick, max_election_tick) =
-            if kept.instead.is_none() { (first, first + 1) } else { (10, 20) };
+            if kept.replaces.is_none() { (first, first + 1) } else { (10, 20) };
         let config = Config {
             id: kept.id,
             election_tick: 10,
@@ -236,12 +239,12 @@
             book: BTreeMap::new(),
             keep,
             saved: 0,
-            kept_hard: kept.hard.clone(),
+            kept_hard: kept.hard_state.clone(),
             unkept: VecDeque::new(),
-            instead: kept.instead,
+            instead: kept.replaces,
             state,
             terms,
-            far: Far { term: kept.hard.term, decided: kept.hard.commit },
+            far: FolderProgress { term: kept.hard_state.term, committed: kept.hard_state.commit },
             heard: BTreeMap::new(),
             answered: Some(Vec::new()),
             told: 0,
@@ -264,12 +267,12 @@
     }
 
     /// Whether it leads, and the record is whole here.
-    pub fn leads(&self) -> bool {
+    pub fn is_ready_leader(&self) -> bool {
         self.watch.is_some()
     }
 
     fn name(&self, id: u64) -> Option<&str> {
-        self.state.seats.get(&id).or_else(|| self.book.get(&id)).map(String::as_str)
+        self.state.voters.get(&id).or_else(|| self.book.get(&id)).map(String::as_str)
     }
 
     /// Who leads, as far as it knows, and the term.
@@ -280,15 +283,15 @@
     /// Another takes over, if one can.
     pub fn step_down(&mut self) -> bool {
         let me = self.node.raft.id;
-        let all = self.state.seats.keys().copied();
+        let all = self.state.voters.keys().copied();
         let matched = |id: &u64| self.node.raft.prs().get(*id).map_or(0, |progress| progress.matched);
-        let (other, leads) = (all.filter(|&id| id != me).max_by_key(matched), self.leads());
+        let (other, leads) = (all.filter(|&id| id != me).max_by_key(matched), self.is_ready_leader());
         other.filter(|_| leads).into_iter().for_each(|id| self.node.transfer_leader(id));
         leads
     }
 
     /// A message from another voter.
-    pub fn read(&mut self, bytes: &[u8]) -> Result<(), String> {
+    pub fn handle_message(&mut self, bytes: &[u8]) -> Result<(), String> {
         let message = Message::parse_from_bytes(bytes).map_err(|e| e.to_string())?;
         if message.to != self.node.raft.id {
             return Err("is for another group".into());
@@ -301,7 +304,7 @@
     }
 
     /// Another voter told how far its folder has come; what it has heard of this one may stand beside.
-    pub fn beacon(&mut self, beacon: &Beacon) {
+    pub fn handle_beacon(&mut self, beacon: &Beacon) {
         if beacon.id == self.node.raft.id {
             return;
         }
@@ -326,12 +329,12 @@
         }
         if self.heard.len() < 64 || self.heard.contains_key(&beacon.id) {
             let heard = self.heard.entry(beacon.id).or_default();
-            *heard = beacon.far.max(*heard);
+            *heard = beacon.progress.max(*heard);
             // An answer is not answered.
             if beacon.heard.is_none() {
                 let heard = Some((beacon.id, *heard));
                 let answer = Beacon { heard, ..self.own() };
-                self.said.push(Said::Beacon { to: beacon.name.clone(), beacon: answer });
+                self.said.push(Outgoing::Beacon { to: beacon.name.clone(), beacon: answer });
             }
         }
         self.let_in(beacon);
@@ -339,15 +342,15 @@
 
     fn own(&self) -> Beacon {
         let id = self.node.raft.id;
-        let instead = self.instead.clone().filter(|_| !self.seated());
-        Beacon { name: self.me.clone(), id, far: self.far, heard: None, instead }
+        let instead = self.instead.clone().filter(|_| !self.is_member());
+        Beacon { name: self.me.clone(), id, progress: self.far, heard: None, replaces: instead }
     }
 
     /// Whoever wants a place takes it from the one that had it, in one step that both majorities keep.
     fn let_in(&mut self, beacon: &Beacon) {
-        let Some(instead) = beacon.instead.as_ref().filter(|_| self.leads()) else { return };
+        let Some(instead) = beacon.replaces.as_ref().filter(|_| self.is_ready_leader()) else { return };
         let had = |(_, name): &(&u64, &String)| *name == instead;
-        let (seats, me) = (&self.state.seats, self.node.raft.id);
+        let (seats, me) = (&self.state.voters, self.node.raft.id);
         let twice = seats.contains_key(&beacon.id)
             || instead != &beacon.name && seats.values().any(|name| *name == beacon.name);
         let Some(&old) = seats.iter().find(had).map(|(id, _)| id).filter(|&&id| id != me && !twice) else {
@@ -369,14 +372,14 @@
     }
 
     /// Somebody wants the record changed. `false`: this voter does not lead, ask another.
-    pub fn ask(&mut self, from: &str, id: u64, command: &Command) -> bool {
-        self.leads() && self.propose(command, Some((from.into(), id)))
+    pub fn request(&mut self, from: &str, id: u64, command: &Command) -> bool {
+        self.is_ready_leader() && self.propose(command, Some((from.into(), id)))
     }
 
     fn propose(&mut self, command: &Command, from: Option<(String, u64)>) -> bool {
         self.proposed += 1;
         let mark = self.proposed.to_le_bytes().to_vec();
-        let taken = self.node.propose(mark, command.write()).is_ok();
+        let taken = self.node.propose(mark, command.encode()).is_ok();
         if let Some(from) = from.filter(|_| taken) {
             self.waits.insert(self.proposed, from);
             // Whoever has not been answered by then asks again.
@@ -389,21 +392,22 @@
 
     /// Tells the others how far this folder has come; whether this voter is in.
     fn tells(&mut self, now: Micros) -> bool {
-        let every = if self.answered.is_some() || self.own().instead.is_some() { ASKING } else { BEACON };
+        let every = if self.answered.is_some() || self.own().replaces.is_some() { ASKING } else { BEACON };
         if now >= self.told + every {
             self.told = now;
             let (me, beacon) = (self.node.raft.id, self.own());
-            let known = self.state.seats.iter().chain(&self.book).filter(|(id, _)| **id != me);
+            let known = self.state.voters.iter().chain(&self.book).filter(|(id, _)| **id != me);
             let names = known.map(|(_, name)| name).filter(|name| **name != self.me);
             let mut names: Vec<&String> = names.chain(&self.others).collect();
             names.sort();
             names.dedup();
-            let said = names.into_iter().map(|to| Said::Beacon { to: to.clone(), beacon: beacon.clone() });
+            let said =
+                names.into_iter().map(|to| Outgoing::Beacon { to: to.clone(), beacon: beacon.clone() });
             self.said.extend(said);
         }
         if let Some(answered) = &self.answered {
             // With itself these are a majority; one that has no place yet has promised nobody anything.
-            let seats = &self.state.seats;
+            let seats = &self.state.voters;
             let voters = answered.iter().filter(|id| seats.contains_key(id)).count();
             if seats.is_empty() || voters >= seats.len() / 2 {
                 self.answered = None;
@@ -413,7 +417,7 @@
     }
 
     /// Does what is due; what is to be said afterwards. After an error this voter must be dropped.
-    pub fn turn(&mut self, now: Micros) -> Result<Vec<Said>, String> {
+    pub fn poll(&mut self, now: Micros) -> Result<Vec<Outgoing>, String> {
         let inside = self.tells(now);
         if let Some(wrong) = self.wrong.take() {
             return Err(wrong);
@@ -423,16 +427,16 @@
             return Ok(std::mem::take(&mut self.said));
         }
         // One that was stopped does not make up for all of it at once.
-        self.ticked = self.ticked.max(now.saturating_sub(3 * TICK));
-        while now >= self.ticked + TICK {
-            self.ticked += TICK;
+        self.ticked = self.ticked.max(now.saturating_sub(3 * TICK_INTERVAL));
+        while now >= self.ticked + TICK_INTERVAL {
+            self.ticked += TICK_INTERVAL;
             self.node.tick();
         }
         self.settle(now)?;
-        if now >= self.freed + TICK {
+        if now >= self.freed + TICK_INTERVAL {
             self.freed = now;
             let over = match &mut self.watch {
-                Some(watch) => watch.turn(now, &self.terms, &self.state),
+                Some(watch) => watch.expired(now, &self.terms, &self.state),
                 None => Vec::new(),
             };
             for free in &over {
@@ -458,7 +462,7 @@
         }
     }
 
-    fn save(&mut self, save: Save) -> Result<(), String> {
+    fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
         self.keep.save(save)?;
         self.saved += 1;
         Ok(())
@@ -466,7 +470,7 @@
 
     /// Goes on with what the storage has kept meanwhile: only now its promises are sent.
     fn take_kept(&mut self) -> Result<(), String> {
-        let kept = self.keep.kept(self.saved)?;
+        let kept = self.keep.persisted(self.saved)?;
         while let Some(done) = self.unkept.pop_front_if(|unkept| unkept.write <= kept) {
             self.far = done.far.map_or(self.far, |far| self.far.max(far));
             self.node.on_persist_ready(done.step);
@@ -516,7 +520,9 @@
             step: ready.number(),
             promises: ready.take_persisted_messages(),
             snapshot: snapshot.map(|snapshot| snapshot.get_metadata().index),
-            far: hard.filter(|_| written).map(|hard| Far { term: hard.term, decided: hard.commit }),
+            far: hard
+                .filter(|_| written)
+                .map(|hard| FolderProgress { term: hard.term, committed: hard.commit }),
         });
         let decided = ready.take_committed_entries();
         self.node.advance_append_async(ready);
@@ -528,7 +534,7 @@
     }
 
     fn take_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), String> {
-        self.state = State::read(&snapshot.data).ok_or("a snapshot came that cannot be read")?;
+        self.state = State::decode(&snapshot.data).ok_or("a snapshot came that cannot be read")?;
         self.applied = snapshot.get_metadata().index;
         let store = self.node.mut_store();
         store.memory.wl().apply_snapshot(snapshot.clone()).map_err(|e| e.to_string())?;
@@ -553,7 +559,7 @@
         if let Some(hard) = hard {
             self.kept_hard = hard.clone();
         }
-        self.save(Save { entries, hard, snapshot, anew: snapshot.is_some() })?;
+        self.save(StorageUpdate { entries, hard_state: hard, snapshot, reset_log: snapshot.is_some() })?;
         Ok(true)
     }
 
@@ -570,7 +576,7 @@
         for message in messages {
             let to = self.name(message.to).map(String::from);
             if let Some((to, bytes)) = to.zip(message.write_to_bytes().ok()) {
-                self.said.push(Said::Message { to, bytes });
+                self.said.push(Outgoing::Message { to, bytes });
             }
         }
     }
@@ -583,18 +589,18 @@
                 self.reseat(&entry)?;
             } else if !entry.data.is_empty() {
                 // To pass over what the others apply would be another record than theirs.
-                let command = Command::read(&entry.data);
+                let command = Command::decode(&entry.data);
                 let command = command.ok_or("a newer program decided what this one cannot read")?;
                 let outcome = self.state.apply(&command);
                 let mark = <[u8; 8]>::try_from(&entry.context[..]).map(u64::from_le_bytes);
                 if let Some((to, id)) = mark.ok().filter(|_| leads).and_then(|mark| self.waits.remove(&mark))
                 {
-                    self.said.push(Said::Answer { to, id, outcome });
+                    self.said.push(Outgoing::Answer { to, id, outcome });
                 }
             }
             if leads && self.watch.is_none() {
                 // All that leaders before this one decided is in the state: from now on it looks after leases.
-                self.watch = Some(Watch::new(now, &self.state));
+                self.watch = Some(LeaseMonitor::new(now, &self.state));
             }
         }
         Ok(())
@@ -607,22 +613,22 @@
         let new = change.get_changes().iter().find(|c| c.get_change_type() == ConfChangeType::AddNode);
         let name = String::from_utf8_lossy(&change.context).into_owned();
         let ids: Vec<u64> = conf.voters.iter().chain(&conf.voters_outgoing).copied().collect();
-        self.state.seat(&ids, new.map(|new| (new.node_id, name)));
+        self.state.set_voters(&ids, new.map(|new| (new.node_id, name)));
         self.node.store().memory.wl().set_conf_state(conf);
         // Whoever is new begins with a record that names it.
         self.cut()
     }
 
     /// Whether its folder is among the voters, and those of the change before it are needed no more.
-    pub fn seated(&self) -> bool {
+    pub fn is_member(&self) -> bool {
         let over = self.node.raft.prs().conf().to_conf_state().voters_outgoing.is_empty();
-        over && self.state.seats.contains_key(&self.node.raft.id)
+        over && self.state.voters.contains_key(&self.node.raft.id)
     }
 
     /// Whether another has its place now, by a record that is as late as its own or later.
-    pub fn replaced(&self, record: &State) -> bool {
-        let had = self.instead.is_none() || self.seated();
-        had && record.version >= self.state.version && !record.seats.contains_key(&self.node.raft.id)
+    pub fn is_replaced(&self, record: &State) -> bool {
+        let had = self.instead.is_none() || self.is_member();
+        had && record.version >= self.state.version && !record.voters.contains_key(&self.node.raft.id)
     }
 
     fn cut(&mut self) -> Result<(), String> {
@@ -631,8 +637,8 @@
         snapshot.mut_metadata().index = self.applied;
         snapshot.mut_metadata().term = self.node.store().term(self.applied).map_err(told)?;
         *snapshot.mut_metadata().mut_conf_state() = self.node.raft.prs().conf().to_conf_state();
-        snapshot.data = self.state.write().into();
-        self.save(Save { snapshot: Some(&snapshot), ..Save::default() })?;
+        snapshot.data = self.state.encode().into();
+        self.save(StorageUpdate { snapshot: Some(&snapshot), ..StorageUpdate::default() })?;
         let store = self.node.mut_store();
         store.memory.wl().compact(self.applied).map_err(told)?;
         store.latest = snapshot;
--- a/src/group/voter_search.rs
+++ b/src/group/voter_search.rs
@@ -1,8 +1,8 @@
 //! Voters whose folders are lost, put back or cut short, and every pair of faults at every moment of a story of three voters
 //! and two askers: over the code that runs, not over a copy of it.
 
-use super::super::folder::{Folder, Kept};
-use super::super::lease::{Gate, Holder};
+use super::super::folder::{StoredVoter, VoterFolder};
+use super::super::lease::{LeaseClient, TokenFence};
 use super::tests::{acquire, Memory, Net};
 use super::*;
 use redb::{Database, StorageBackend};
@@ -19,7 +19,7 @@
     net.voters[lost] = None;
     assert_eq!(net.decide(2, Command::Renew { task: "t".into(), token: 1 }), Outcome::Granted(1));
     let name = net.names[lost].clone();
-    let joiner = Kept::joiner(&name, &name, 7);
+    let joiner = StoredVoter::for_replacement(&name, &name, 7);
     let id = joiner.id;
     net.kept[lost] = Memory::new(joiner);
     net.lost = 10;
@@ -28,7 +28,7 @@
         let seats = |i: usize| {
             net.voters[i]
                 .as_ref()
-                .is_some_and(|v| v.state().seats.contains_key(&id) && v.state().seats.len() == 3)
+                .is_some_and(|v| v.state().voters.contains_key(&id) && v.state().voters.len() == 3)
         };
         (0..3).all(seats)
     });
@@ -41,12 +41,12 @@
     let later = net.voters[net.leader().unwrap()].as_ref().unwrap().state().clone();
     let keep = Memory::new(old.clone());
     let mut ghost = Voter::new(net.now, &name, &net.names, net.terms, keep, old).unwrap();
-    assert!(ghost.replaced(&later) && !net.voters[lost].as_ref().unwrap().replaced(&later));
+    assert!(ghost.is_replaced(&later) && !net.voters[lost].as_ref().unwrap().is_replaced(&later));
     for n in 0..200 {
-        for said in ghost.turn(net.now + n * 100_000).unwrap_or_default() {
-            assert!(!matches!(said, Said::Answer { .. }), "{said:?}");
+        for said in ghost.poll(net.now + n * 100_000).unwrap_or_default() {
+            assert!(!matches!(said, Outgoing::Answer { .. }), "{said:?}");
         }
-        assert!(!ghost.leads());
+        assert!(!ghost.is_ready_leader());
     }
 }
 
@@ -177,7 +177,14 @@
     let names = ["v0".to_string()];
     let made = Disk::new(Vec::new(), u64::MAX);
     let open = |disk: &Disk, how| Database::builder().create_with_backend(Backend(disk.clone(), how));
-    drop(Folder::fill(open(&made, Left::All).unwrap(), "v0", &Kept::founder("v0", &names)).unwrap());
+    drop(
+        VoterFolder::initialize(
+            open(&made, Left::All).unwrap(),
+            "v0",
+            &StoredVoter::for_new_group("v0", &names),
+        )
+        .unwrap(),
+    );
     let bytes = made.left(Left::All);
     let entry = |index: u64| Entry { index, term: 1, data: vec![index as u8; 40].into(), ..Entry::default() };
     let (mut cuts, mut behind, mut refused) = (0, 0, 0);
@@ -186,12 +193,17 @@
             let disk = Disk::new(bytes.clone(), stops);
             let mut done = 1;
             if let Ok((mut folder, _)) =
-                open(&disk, how).map_err(|e| e.to_string()).and_then(|base| Folder::read(base, "v0"))
+                open(&disk, how).map_err(|e| e.to_string()).and_then(|base| VoterFolder::load(base, "v0"))
             {
                 for index in 2..8 {
-                    let hard = raft::eraftpb::HardState { term: 1, commit: index, ..Default::default() };
+                    let hard_state =
+                        raft::eraftpb::HardState { term: 1, commit: index, ..Default::default() };
                     if folder
-                        .save(Save { entries: &[entry(index)], hard: Some(&hard), ..Save::default() })
+                        .save(StorageUpdate {
+                            entries: &[entry(index)],
+                            hard_state: Some(&hard_state),
+                            ..StorageUpdate::default()
+                        })
                         .is_err()
                     {
                         break;
@@ -202,13 +214,15 @@
             let over = disk.0.lock().unwrap().acts < stops;
             cuts += 1;
             let again = Disk::new(disk.left(how), u64::MAX);
-            match open(&again, Left::All).map_err(|e| e.to_string()).and_then(|base| Folder::read(base, "v0"))
+            match open(&again, Left::All)
+                .map_err(|e| e.to_string())
+                .and_then(|base| VoterFolder::load(base, "v0"))
             {
                 Ok((_, kept)) => {
                     let last = kept.entries.last().map_or(1, |e| e.index);
                     // What it returned from is there, and of the next one all or nothing.
                     assert!(last == done || last == done + 1, "{how:?}, act {stops}: {last} after {done}");
-                    assert_eq!(kept.hard.commit, last, "{how:?}, act {stops}");
+                    assert_eq!(kept.hard_state.commit, last, "{how:?}, act {stops}");
                     assert!(kept.entries.iter().all(|e| *e == entry(e.index)), "{how:?}, act {stops}");
                     behind += usize::from(last > done);
                 }
@@ -253,18 +267,18 @@
 const MOMENTS: usize = 36;
 const STORY: usize = 110;
 /// How long a holder may act, and how far clocks run.
-const STATED: Terms = Terms { span: 1_600_000, drift: 200_000 };
+const STATED: LeaseTerms = LeaseTerms { duration: 1_600_000, drift_ppm: 200_000 };
 
 /// Plays three voters and two askers with these faults at these moments; what was wrong. The voters go by terms of their own.
-fn story(faults: &[(usize, Fault)], terms: Terms) -> Result<u64, String> {
+fn story(faults: &[(usize, Fault)], terms: LeaseTerms) -> Result<u64, String> {
     let mut net = Net::new(3, 1);
     net.terms = terms;
     // Voters' clocks run fast, the first asker's slow and the second's true.
     net.rates = vec![120; 3];
     (0..3).for_each(|i| net.start(i));
-    let mut holders = ["a", "b"].map(|me| Holder::new(0, STATED, "t", me));
+    let mut holders = ["a", "b"].map(|me| LeaseClient::new(0, STATED, "t", me));
     let clock = |i: usize, now: Micros| now * if i == 0 { 80 } else { 100 } / 100;
-    let (mut gate, mut carried, mut about) = (Gate::default(), 0, [None; 2]);
+    let (mut gate, mut carried, mut about) = (TokenFence::default(), 0, [None; 2]);
     let (mut asks, mut n) = (BTreeMap::<u64, (usize, u64)>::new(), 0);
     while net.leader().is_none() {
         net.after(STEP);
@@ -292,20 +306,20 @@
             let now = clock(i, net.now);
             // One that is stopped has looked at its lease before.
             if begins(Fault::Pause(i)) {
-                about[i] = holder.acts(now);
+                about[i] = holder.active_token(now);
             }
             if on(Fault::Pause(i)) {
                 continue;
             }
-            if let Some((id, command)) = holder.turn(now) {
+            if let Some((id, command)) = holder.next_request(now) {
                 n += 1;
                 asks.insert(n, (i, id));
                 if let Some(l) = net.leader() {
-                    net.voters[l].as_mut().unwrap().ask("h", n, &command);
+                    net.voters[l].as_mut().unwrap().request("h", n, &command);
                 }
             }
-            let acts = about[i].take().or(holder.acts(now));
-            if let Some(token) = acts.filter(|&token| gate.passes("t", token)) {
+            let acts = about[i].take().or(holder.active_token(now));
+            if let Some(token) = acts.filter(|&token| gate.admits("t", token)) {
                 if token < carried {
                     return Err(format!("token {token} carried out after {carried}"));
                 }
@@ -315,15 +329,17 @@
         let answers = std::mem::take(&mut net.answers);
         for (_, n, outcome) in answers {
             if let Some((i, id)) = asks.get(&n).copied().filter(|(i, _)| !on(Fault::Pause(*i))) {
-                holders[i].answer(clock(i, net.now), id, &outcome);
+                holders[i].handle_outcome(clock(i, net.now), id, &outcome);
             }
         }
-        if let (Some(a), Some(b)) = (holders[0].acts(clock(0, net.now)), holders[1].acts(clock(1, net.now))) {
+        if let (Some(a), Some(b)) =
+            (holders[0].active_token(clock(0, net.now)), holders[1].active_token(clock(1, net.now)))
+        {
             return Err(format!("step {step}: both may act, under {a} and {b}"));
         }
     }
     // All that failed is over for long: somebody acts.
-    let acting = (0..2).any(|i| holders[i].acts(clock(i, net.now)).is_some());
+    let acting = (0..2).any(|i| holders[i].active_token(clock(i, net.now)).is_some());
     if acting {
         Ok(carried)
     } else {
@@ -332,7 +348,7 @@
 }
 
 /// Every pair of faults at every sixth moment; how many stories, and the first that is wrong.
-fn pairs(terms: Terms) -> (usize, Option<String>) {
+fn pairs(terms: LeaseTerms) -> (usize, Option<String>) {
     let moments = (0..MOMENTS).step_by(6);
     let all: Vec<(usize, Fault)> = moments.flat_map(|at| FAULTS.map(|fault| (at, fault))).collect();
     let mut stories = 0;
@@ -360,8 +376,8 @@
 #[test]
 fn voters_that_free_too_early_are_found() {
     for (terms, name) in [
-        (Terms { drift: 0, ..STATED }, "no bound for drift"),
-        (Terms { span: 0, ..STATED }, "no wait at all"),
+        (LeaseTerms { drift_ppm: 0, ..STATED }, "no bound for drift"),
+        (LeaseTerms { duration: 0, ..STATED }, "no wait at all"),
     ] {
         let (stories, wrong) = pairs(terms);
         println!("{name}: after {stories} stories {wrong:?}");
--- a/src/group/voter_tests.rs
+++ b/src/group/voter_tests.rs
@@ -1,7 +1,7 @@
 //! Voters in one thread, over a net that loses, doubles and cuts by a seed; folders that fail and are put back.
 
-use super::super::folder::Folder;
-use super::super::lease::Holder;
+use super::super::folder::VoterFolder;
+use super::super::lease::LeaseClient;
 use super::super::writer::Write;
 use super::*;
 use std::cell::RefCell;
@@ -17,10 +17,10 @@
 
 /// A folder in memory that outlives its voter, and fails when told to.
 #[derive(Clone, Default)]
-pub struct Memory(pub Rc<RefCell<(Kept, bool)>>, pub Rc<RefCell<Late>>);
+pub struct Memory(pub Rc<RefCell<(StoredVoter, bool)>>, pub Rc<RefCell<Late>>);
 
-impl Keep for Memory {
-    fn save(&mut self, save: Save) -> Result<(), String> {
+impl VoterStorage for Memory {
+    fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
         if self.1.borrow().slow {
             self.1.borrow_mut().waits.push_back(Write::of(&save));
             return Ok(());
@@ -28,14 +28,14 @@
         self.write(save)
     }
 
-    fn kept(&mut self, saved: u64) -> Result<u64, String> {
+    fn persisted(&mut self, saved: u64) -> Result<u64, String> {
         let late = self.1.borrow();
         Ok(if late.slow { late.done } else { saved })
     }
 }
 
 impl Memory {
-    pub fn new(kept: Kept) -> Memory {
+    pub fn new(kept: StoredVoter) -> Memory {
         Memory(Rc::new(RefCell::new((kept, false))), Rc::default())
     }
 
@@ -55,27 +55,27 @@
         late.done = 0;
     }
 
-    fn write(&mut self, save: Save) -> Result<(), String> {
-        let Save { entries, hard, snapshot, anew } = save;
+    fn write(&mut self, save: StorageUpdate) -> Result<(), String> {
+        let StorageUpdate { entries, hard_state, snapshot, reset_log } = save;
         let (kept, full) = &mut *self.0.borrow_mut();
         if *full {
             return Err("no room left".into());
         }
-        if anew {
+        if reset_log {
             kept.entries.clear();
         }
         if let Some(entry) = entries.first() {
             kept.entries.retain(|e| e.index < entry.index);
             kept.entries.extend_from_slice(entries);
         }
-        hard.into_iter().for_each(|hard| kept.hard = hard.clone());
+        hard_state.into_iter().for_each(|hard_state| kept.hard_state = hard_state.clone());
         snapshot.into_iter().for_each(|snapshot| kept.snapshot = snapshot.clone());
         snapshot.into_iter().for_each(|s| kept.entries.retain(|e| e.index > s.get_metadata().index));
         Ok(())
     }
 }
 
-pub const TERMS: Terms = Terms { span: 2_000_000, drift: 10_000 };
+pub const TERMS: LeaseTerms = LeaseTerms { duration: 2_000_000, drift_ppm: 10_000 };
 
 pub struct Net {
     pub now: Micros,
@@ -85,7 +85,7 @@
     pub answers: Vec<(String, u64, Outcome)>,
     drawn: u64,
     /// What the voters go by; in a planted error not what the holders do.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// Messages of this step come so many steps later; those that do.
     pub late: usize,
     waits: Vec<(usize, usize, Vec<u8>)>,
@@ -102,7 +102,7 @@
 impl Net {
     pub fn new(n: usize, seed: u64) -> Net {
         let names: Vec<String> = (0..n).map(|i| format!("v{i}")).collect();
-        let kept = names.iter().map(|name| Memory::new(Kept::founder(name, &names))).collect();
+        let kept = names.iter().map(|name| Memory::new(StoredVoter::for_new_group(name, &names))).collect();
         let (voters, answers, cut) = ((0..n).map(|_| None).collect(), Vec::new(), Vec::new());
         let mut net = Net {
             now: 0,
@@ -150,12 +150,12 @@
         self.now += span;
         self.waits.iter_mut().for_each(|wait| wait.0 -= 1);
         for (_, j, bytes) in self.waits.extract_if(.., |wait| wait.0 == 0) {
-            self.voters[j].iter_mut().for_each(|voter| drop(voter.read(&bytes)));
+            self.voters[j].iter_mut().for_each(|voter| drop(voter.handle_message(&bytes)));
         }
         for i in 0..self.voters.len() {
             let now = self.clock(i);
             let Some(voter) = &mut self.voters[i] else { continue };
-            let said = match voter.turn(now) {
+            let said = match voter.poll(now) {
                 Ok(said) => said,
                 Err(why) => {
                     self.voters[i] = None;
@@ -165,14 +165,14 @@
             };
             for said in said {
                 match said {
-                    Said::Answer { to, id, outcome } => self.answers.push((to, id, outcome)),
-                    Said::Beacon { to, beacon } => {
+                    Outgoing::Answer { to, id, outcome } => self.answers.push((to, id, outcome)),
+                    Outgoing::Beacon { to, beacon } => {
                         let j = self.names.iter().position(|name| *name == to).unwrap();
                         if self.cut.contains(&i) == self.cut.contains(&j) {
-                            self.voters[j].iter_mut().for_each(|voter| voter.beacon(&beacon));
+                            self.voters[j].iter_mut().for_each(|voter| voter.handle_beacon(&beacon));
                         }
                     }
-                    Said::Message { to, bytes } => {
+                    Outgoing::Message { to, bytes } => {
                         assert!(bytes.len() < 1_300, "{} bytes", bytes.len());
                         let j = self.names.iter().position(|name| *name == to).unwrap();
                         let (draw, cut) = (self.draw() % 100, self.cut.contains(&i) != self.cut.contains(&j));
@@ -186,7 +186,7 @@
                             continue;
                         }
                         (0..times).for_each(|_| {
-                            self.voters[j].iter_mut().for_each(|voter| drop(voter.read(&bytes)));
+                            self.voters[j].iter_mut().for_each(|voter| drop(voter.handle_message(&bytes)));
                         });
                     }
                 }
@@ -195,7 +195,7 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |i: &usize| self.voters[*i].as_ref().is_some_and(Voter::leads);
+        let leads = |i: &usize| self.voters[*i].as_ref().is_some_and(Voter::is_ready_leader);
         (0..self.voters.len()).filter(leads).max_by_key(|&i| self.voters[i].as_ref().unwrap().leader().1)
     }
 
@@ -214,7 +214,7 @@
             if net.now >= asked {
                 asked = net.now + 1_000_000;
                 if let Some(leader) = net.leader() {
-                    net.voters[leader].as_mut().unwrap().ask("me", id, &command);
+                    net.voters[leader].as_mut().unwrap().request("me", id, &command);
                 }
             }
             net.answers.iter().any(|a| a.1 == id)
@@ -252,8 +252,8 @@
     }
     assert!(net.kept[net.leader().unwrap()].0.borrow().0.entries.len() <= 2 * CUT as usize);
     net.start(away);
-    let whole = net.voters[net.leader().unwrap()].as_ref().unwrap().state().tokens;
-    net.until("the snapshot", |net| net.voters[away].as_ref().unwrap().state().tokens == whole);
+    let whole = net.voters[net.leader().unwrap()].as_ref().unwrap().state().last_token;
+    net.until("the snapshot", |net| net.voters[away].as_ref().unwrap().state().last_token == whole);
 }
 
 /// Guards against a voter that goes on after its folder failed, and against a minority that decides.
@@ -269,7 +269,7 @@
     net.cut = vec![net.leader().unwrap()];
     for _ in 0..500 {
         if let Some(leader) = net.leader() {
-            net.voters[leader].as_mut().unwrap().ask("me", 99, &acquire("y"));
+            net.voters[leader].as_mut().unwrap().request("me", 99, &acquire("y"));
         }
         net.step();
     }
@@ -319,7 +319,7 @@
         let mut net = Net::new(3, first_seed + seed);
         net.lost = 15;
         net.kept.iter().for_each(|memory| memory.1.borrow_mut().slow = slow);
-        let mut holders: Vec<Holder> = ["a", "b"].map(|me| Holder::new(0, TERMS, "t", me)).into();
+        let mut holders: Vec<LeaseClient> = ["a", "b"].map(|me| LeaseClient::new(0, TERMS, "t", me)).into();
         let mut asks: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
         let (mut n, mut last, mut idle) = (0, 0, 0);
         while net.now < 60_000_000 {
@@ -346,27 +346,27 @@
                 // Now and then one stops for long.
                 if net.draw() % 100 < 3 {
                     let at = net.now;
-                    if let Some((_, give)) = holder.give_back(at, 500_000) {
+                    if let Some((_, give)) = holder.release(at, 500_000) {
                         net.leader().into_iter().for_each(|l| {
-                            net.voters[l].as_mut().unwrap().ask("h", 0, &give);
+                            net.voters[l].as_mut().unwrap().request("h", 0, &give);
                         });
                     }
                 }
-                if let Some((id, command)) = holder.turn(net.now) {
+                if let Some((id, command)) = holder.next_request(net.now) {
                     n += 1;
                     asks.insert(n, (i, id));
                     net.leader().into_iter().for_each(|l| {
-                        net.voters[l].as_mut().unwrap().ask("h", n, &command);
+                        net.voters[l].as_mut().unwrap().request("h", n, &command);
                     });
                 }
             }
             for (_, n, outcome) in std::mem::take(&mut net.answers) {
                 if let Some((i, id)) = asks.remove(&n) {
                     let now = net.now;
-                    holders[i].answer(now, id, &outcome);
+                    holders[i].handle_outcome(now, id, &outcome);
                 }
             }
-            let acting: Vec<u64> = holders.iter().filter_map(|h| h.acts(net.now)).collect();
+            let acting: Vec<u64> = holders.iter().filter_map(|h| h.active_token(net.now)).collect();
             assert!(acting.len() < 2, "seed {seed}: {acting:?}");
             idle = if acting.is_empty() { idle + 1 } else { 0 };
             most = most.max(idle);
@@ -385,28 +385,28 @@
 fn a_folder_is_whose_it_is_and_keeps_what_it_returned_from() {
     let at = std::env::temp_dir().join(format!("oakdeal-folder-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&at);
-    assert!(Folder::open(&at, "v0").err().unwrap().contains("group found"));
+    assert!(VoterFolder::open(&at, "v0").err().unwrap().contains("group found"));
     let names = vec!["v0".to_string()];
-    let first = Kept::founder("v0", &names);
-    Folder::found(&at, "v0", &first).unwrap();
-    assert!(Folder::found(&at, "v0", &first).unwrap_err().contains("already"));
-    assert!(Folder::open(&at, "v1").err().unwrap().contains("v0"));
+    let first = StoredVoter::for_new_group("v0", &names);
+    VoterFolder::create(&at, "v0", &first).unwrap();
+    assert!(VoterFolder::create(&at, "v0", &first).unwrap_err().contains("already"));
+    assert!(VoterFolder::open(&at, "v1").err().unwrap().contains("v0"));
     let mut granted = 0;
     for round in 0..3 {
-        let (folder, kept) = Folder::open(&at, "v0").unwrap();
+        let (folder, kept) = VoterFolder::open(&at, "v0").unwrap();
         let mut voter = Voter::new(0, "v0", &names, TERMS, folder, kept).unwrap();
         let mut now = 0;
-        while !voter.leads() {
-            now += TICK;
-            voter.turn(now).unwrap();
+        while !voter.is_ready_leader() {
+            now += TICK_INTERVAL;
+            voter.poll(now).unwrap();
         }
-        assert_eq!(voter.state().tokens, granted, "round {round}");
-        assert!(voter.ask("me", 1, &acquire("x")));
-        voter.turn(now).unwrap();
+        assert_eq!(voter.state().last_token, granted, "round {round}");
+        assert!(voter.request("me", 1, &acquire("x")));
+        voter.poll(now).unwrap();
         let Some(lease) = voter.state().leases.get("t").cloned() else { panic!("not decided") };
         granted = lease.token;
-        voter.ask("me", 2, &Command::Return { task: "t".into(), token: granted });
-        voter.turn(now).unwrap();
+        voter.request("me", 2, &Command::Return { task: "t".into(), token: granted });
+        voter.poll(now).unwrap();
     }
     assert_eq!(granted, 3);
     // Torn in mid-write: the file is cut short. It is good or refused, never wrong.
@@ -414,8 +414,8 @@
     let whole = std::fs::read(&file).unwrap();
     for part in 1..16 {
         std::fs::write(&file, &whole[..whole.len() * part / 16]).unwrap();
-        if let Ok((_, kept)) = Folder::open(&at, "v0") {
-            assert!(kept.hard.term >= 1, "cut to {part}/16: an empty memory is a wrong one");
+        if let Ok((_, kept)) = VoterFolder::open(&at, "v0") {
+            assert!(kept.hard_state.term >= 1, "cut to {part}/16: an empty memory is a wrong one");
         }
     }
     std::fs::remove_dir_all(&at).unwrap();
