--- a/src/cli/zones.rs
+++ b/src/cli/zones.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::failover::evidence::Digest;
 use crate::failover::plan::{Plan, Planner};
-use crate::group::task::EVIDENCE;
+use crate::group::task::EVIDENCE_TARGET;
 use crate::operator::Operator;
 use crate::serve::worthiest;
 use clap::Subcommand;
@@ -107,7 +107,7 @@
     };
     for line in BufReader::new(file).lines().map_while(Result::ok) {
         let Ok(line) = serde_json::from_str::<serde_json::Value>(&line) else { continue };
-        if line["target"] != EVIDENCE {
+        if line["target"] != EVIDENCE_TARGET {
             continue;
         }
         let digest =
--- a/src/group/account.rs
+++ b/src/group/account.rs
@@ -1,4 +1,4 @@
-//! The fleet's account: one writer for all members, under the lease [`super::ACCOUNT`]. No I/O.
+//! The fleet's account: one writer for all members, under the lease [`super::ACCOUNT_TASK`]. No I/O.
 //!
 //! Every member tells the holder what it has counted since it started; the holder writes pages of all that it was told. A page's
 //! number is decided in the record before a row of it is written, so each number has one writer; its rows are counts that only
--- a/src/group/duties.rs
+++ b/src/group/duties.rs
@@ -5,7 +5,7 @@
 use super::member::{Asked, Event, Member};
 use super::record::Command;
 use super::words::{Report, Wish, Words};
-use super::ACCOUNT;
+use super::ACCOUNT_TASK;
 use crate::api::Micros;
 use crate::contracts::row::Row;
 use crate::failover::evidence::Digest;
@@ -26,7 +26,7 @@
 
     /// What was counted here since the start, for whoever writes the account.
     pub fn count(&mut self, now: Micros, rows: &[Row]) {
-        let (Some(holder), me) = (self.holder(ACCOUNT), self.peers.me().clone()) else { return };
+        let (Some(holder), me) = (self.holder(ACCOUNT_TASK), self.peers.me().clone()) else { return };
         for rows in rows.chunks(ROWS) {
             let report = Report { balancer: me.name.clone(), started: me.started, rows: rows.to_vec() };
             match holder == me.name {
@@ -38,19 +38,20 @@
 
     /// A page's number is decided: its rows are written if the task is still ours, and by nobody otherwise.
     pub(super) fn write(&mut self, now: Micros, page: u64) {
-        let Some(token) = self.acts(now, ACCOUNT) else { return };
+        let Some(token) = self.acts(now, ACCOUNT_TASK) else { return };
         let members: Vec<String> = self.peers.members().into_iter().map(|m| m.name).collect();
         let page = self.book.page(now, page, token, &members, self.duties.account);
-        self.report_under(ACCOUNT, token, Event::Page(page));
+        self.report_under(ACCOUNT_TASK, token, Event::Page(page));
     }
 
     pub(super) fn page(&mut self, now: Micros) {
-        let Some(token) = self.acts(now, ACCOUNT).filter(|_| now >= self.paged + self.duties.account) else {
+        let Some(token) = self.acts(now, ACCOUNT_TASK).filter(|_| now >= self.paged + self.duties.account)
+        else {
             return;
         };
         self.paged = now;
         let page = self.record().pages + 1;
-        let command = Command::Page { task: ACCOUNT.into(), token, page };
+        let command = Command::Page { task: ACCOUNT_TASK.into(), token, page };
         self.wish(Wish::Change(command), Some(Asked::Page(page)));
     }
 
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::contracts::row::Row;
 use crate::group::folder::{Kept, Save};
-use crate::group::ACCOUNT;
+use crate::group::ACCOUNT_TASK;
 use crate::peers;
 
 /// A folder that keeps nothing: no voter stops here.
@@ -51,7 +51,7 @@
             let voter = names.get(i).map(|name| {
                 Voter::new(0, name, &names, TERMS, Nowhere, Kept::founder(name, &names)).unwrap()
             });
-            let tasks = if i < wants { vec!["rebalance".into(), ACCOUNT.into()] } else { Vec::new() };
+            let tasks = if i < wants { vec!["rebalance".into(), ACCOUNT_TASK.into()] } else { Vec::new() };
             let duties = Duties { tasks, turn: 60 * SECOND, account: 2 * SECOND };
             Member::new(0, peers, &names, voter, TERMS, duties)
         };
@@ -157,7 +157,7 @@
         let now = net.now;
         (0..5).for_each(|i| net.all[i].count(now, &rows(second)));
         if second == 25 {
-            (0..5).for_each(|i| net.all[i].give_back(now, ACCOUNT));
+            (0..5).for_each(|i| net.all[i].give_back(now, ACCOUNT_TASK));
         }
         net.run(SECOND);
     }
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -25,9 +25,9 @@
 use std::path::PathBuf;
 
 /// The task of moving connections home: one balancer's wave at a time.
-pub const REBALANCE: &str = "rebalance";
+pub const REBALANCE_TASK: &str = "rebalance";
 /// The task of writing the fleet's account.
-pub const ACCOUNT: &str = "account";
+pub const ACCOUNT_TASK: &str = "account";
 
 /// The section `[group]` of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
@@ -49,17 +49,17 @@
     /// A voter's memory.
     pub folder: Option<PathBuf>,
     /// How often somebody is asked whether they are there.
-    pub probe: Micros,
+    pub probe_interval: Micros,
     /// How long a holder may act after it asked.
-    pub span: Micros,
+    pub lease_span: Micros,
     /// How far clocks run from true time, in millionths.
     pub drift: u64,
     /// The tasks that this process wants.
     pub tasks: Vec<String>,
     /// How often the fleet's account is written.
-    pub account: Micros,
+    pub account_interval: Micros,
     /// It holds one for so long at most, before another may.
-    pub turn: Micros,
+    pub max_hold: Micros,
     /// A number that differs where the files differ.
-    pub print: u32,
+    pub fingerprint: u32,
 }
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -9,7 +9,7 @@
 use super::record;
 use super::voter::Voter;
 use super::writer::Writer;
-use super::{Settings, REBALANCE};
+use super::{Settings, REBALANCE_TASK};
 use crate::api::Micros;
 use crate::broker::operations::Operations;
 use crate::broker::Broker;
@@ -35,7 +35,7 @@
 /// What stands before the membership's own words in a datagram, at most.
 const HEAD: usize = 2 + record::LONGEST + 8;
 /// The target of what the maker of plans was told; `oakdeal zones plan` reads it.
-pub const EVIDENCE: &str = "oakdeal::evidence";
+pub const EVIDENCE_TARGET: &str = "oakdeal::evidence";
 /// Between two reports for the fleet's account, in microseconds.
 const REPORT: Micros = 1_000_000;
 /// A turn that comes later than it was due by so much is logged, in microseconds.
@@ -47,39 +47,39 @@
 
 /// What an operator may order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum OperatorCommand {
     /// Something of a zone for so many milliseconds, or nothing any more.
     Zone(String, Option<Wish>, u64),
     /// Another voter is to lead.
     StepDown,
     /// All tasks held here are to be given back.
-    GiveUp,
+    ReleaseTasks,
     /// The program ends.
-    Leave,
+    LeaveGroup,
 }
 
 /// What the group shows, and where it takes orders.
-pub struct Board {
+pub struct StatusBoard {
     text: RefCell<String>,
     zones: RefCell<String>,
-    orders: UnboundedSender<Order>,
+    orders: UnboundedSender<OperatorCommand>,
 }
 
-impl Board {
+impl StatusBoard {
     /// What is to be seen, a line each.
-    pub fn text(&self) -> String {
+    pub fn status(&self) -> String {
         self.text.borrow().clone()
     }
 
     /// The zones by the fleet's plan, a line each; none where no plan is made.
-    pub fn zones(&self) -> Option<String> {
+    pub fn zone_status(&self) -> Option<String> {
         Some(self.zones.borrow().clone()).filter(|text| !text.is_empty())
     }
 
     /// Gives an order.
-    pub fn order(&self, order: Order) {
+    pub fn send(&self, command: OperatorCommand) {
         // Cannot fail while the program runs: the group's task holds the other end.
-        let _ = self.orders.send(order);
+        let _ = self.orders.send(command);
     }
 }
 
@@ -127,8 +127,8 @@
     socket: UdpSocket,
     seal: Seal,
     clock: Clock,
-    orders: UnboundedReceiver<Order>,
-    board: Rc<Board>,
+    orders: UnboundedReceiver<OperatorCommand>,
+    board: Rc<StatusBoard>,
     #[cfg(feature = "failpoints")]
     stop_before_act: StopBeforeAct,
     /// How often it tells what it sees of the zones, where the fleet has a plan for them.
@@ -142,12 +142,12 @@
         name: &str,
         started: u64,
         seed: u64,
-    ) -> Result<(Group, Rc<Board>), String> {
+    ) -> Result<(Group, Rc<StatusBoard>), String> {
         let name = settings.name.as_deref().unwrap_or(name);
         let said = |what: String| format!("[group]: {what}");
         let seal = Seal::read(&settings.key).map_err(said)?;
         let clock = Clock::new();
-        let terms = lease::Terms { span: settings.span, drift: settings.drift };
+        let terms = lease::Terms { span: settings.lease_span, drift: settings.drift };
         let mut voter = None;
         let kept_notify = Arc::new(Notify::new());
         if settings.voters.iter().any(|voter| voter == name) {
@@ -173,20 +173,20 @@
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             version: env!("CARGO_PKG_VERSION").into(),
-            settings: settings.print,
+            settings: settings.fingerprint,
             drains: false,
         };
         let book = settings.members.iter().filter(|(other, _)| *other != name);
         let book = book.map(|(name, at)| (name.clone(), *at)).collect();
-        let peers = Peers::new(me, book, settings.probe, LONGEST - ADDED - HEAD, seed);
-        let (tasks, turn, account) = (settings.tasks, settings.turn, settings.account);
+        let peers = Peers::new(me, book, settings.probe_interval, LONGEST - ADDED - HEAD, seed);
+        let (tasks, turn, account) = (settings.tasks, settings.max_hold, settings.account_interval);
         let duties = Duties { tasks, turn, account };
         let member = Member::new(clock.now(), peers, &settings.voters, voter, terms, duties);
         let socket = UdpSocket::bind(settings.listen).await;
         let socket = socket
             .map_err(|e| said(format!("listen {}: {e}; give an address that is free", settings.listen)))?;
         let (orders, heard) = unbounded_channel();
-        let board = Rc::new(Board { text: RefCell::default(), zones: RefCell::default(), orders });
+        let board = Rc::new(StatusBoard { text: RefCell::default(), zones: RefCell::default(), orders });
         tracing::info!("{name} is in the group at {}", settings.listen);
         let kept = kept_notify;
         let group = Group {
@@ -205,7 +205,7 @@
     }
 
     /// Zones by a plan, made of these zones and classes, the worthiest first.
-    pub fn plans(&mut self, terms: &Terms, zones: &[String], classes: Vec<String>) {
+    pub fn enable_zone_plans(&mut self, terms: &Terms, zones: &[String], classes: Vec<String>) {
         self.tells = Some(terms.tell);
         self.member.plans(Planner::new(terms.clone(), zones.to_vec(), classes));
     }
@@ -222,10 +222,10 @@
                 order = self.orders.recv() => {
                     let now = self.clock.now();
                     match order {
-                        Some(Order::StepDown) => drop(self.member.step_down()),
-                        Some(Order::GiveUp) => self.member.give_up(now),
-                        Some(Order::Zone(zone, wish, lasts)) => self.member.order(&zone, wish, lasts),
-                        Some(Order::Leave) => {
+                        Some(OperatorCommand::StepDown) => drop(self.member.step_down()),
+                        Some(OperatorCommand::ReleaseTasks) => self.member.give_up(now),
+                        Some(OperatorCommand::Zone(zone, wish, lasts)) => self.member.order(&zone, wish, lasts),
+                        Some(OperatorCommand::LeaveGroup) => {
                             self.member.leave(now);
                             self.send();
                             self.tell(&broker);
@@ -320,7 +320,7 @@
     /// the two readings shortens the time and never lengthens it.
     fn extend_rebalancing(&self, broker: &Broker) {
         let broker_now = broker.now();
-        let left = self.member.lease_left(self.clock.now(), REBALANCE);
+        let left = self.member.lease_left(self.clock.now(), REBALANCE_TASK);
         broker.may_rebalance_until(broker_now.saturating_add(left));
     }
 }
@@ -342,7 +342,7 @@
         Event::Silenced(e) => tracing::error!("group: votes no more: {e}"),
         Event::Seen(digest) => {
             let digest = serde_json::to_string(&digest).unwrap_or_default();
-            tracing::debug!(target: EVIDENCE, us, digest, "seen");
+            tracing::debug!(target: EVIDENCE_TARGET, us, digest, "seen");
         }
         Event::Planned(plan) => {
             for (name, zone) in &plan.zones {
--- a/src/group/voter_tests.rs
+++ b/src/group/voter_tests.rs
@@ -22,7 +22,7 @@
 impl Keep for Memory {
     fn save(&mut self, save: Save) -> Result<(), String> {
         if self.1.borrow().slow {
-            self.1.borrow_mut().waits.push_back(Write::of(&save));
+            self.1.borrow_mut().waits.push_back(Write::from_save(&save));
             return Ok(());
         }
         self.write(save)
@@ -43,7 +43,7 @@
     fn finish(&mut self, writes: u64) {
         for _ in 0..writes {
             let Some(write) = self.1.borrow_mut().waits.pop_front() else { return };
-            self.write(write.save()).unwrap();
+            self.write(write.as_save()).unwrap();
             self.1.borrow_mut().done += 1;
         }
     }
--- a/src/group/writer.rs
+++ b/src/group/writer.rs
@@ -20,13 +20,13 @@
 
 impl Write {
     /// What is to be written, owned.
-    pub fn of(save: &Save) -> Write {
+    pub fn from_save(save: &Save) -> Write {
         let Save { entries, hard, snapshot, anew } = *save;
         Write { entries: entries.to_vec(), hard: hard.cloned(), snapshot: snapshot.cloned(), anew }
     }
 
     /// For the storage.
-    pub fn save(&self) -> Save<'_> {
+    pub fn as_save(&self) -> Save<'_> {
         let Write { entries, hard, snapshot, anew } = self;
         Save { entries, hard: hard.as_ref(), snapshot: snapshot.as_ref(), anew: *anew }
     }
@@ -60,7 +60,7 @@
 ) {
     while let Ok(first) = writes.recv() {
         let batch: Vec<Write> = std::iter::once(first).chain(writes.try_iter()).collect();
-        let saves: Vec<Save> = batch.iter().map(Write::save).collect();
+        let saves: Vec<Save> = batch.iter().map(Write::as_save).collect();
         let result = storage.save_all(&saves);
         let failed = result.is_err();
         let voter_is_gone = results.send(result.map(|()| batch.len() as u64)).is_err();
@@ -74,7 +74,7 @@
 impl Keep for Writer {
     fn save(&mut self, save: Save) -> Result<(), String> {
         // Where the thread has ended after a failure the reason is told by `kept`.
-        let _ = self.writes.send(Write::of(&save));
+        let _ = self.writes.send(Write::from_save(&save));
         Ok(())
     }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -8,7 +8,7 @@
 use crate::api::Micros;
 use crate::broker::operations::Operations;
 use crate::failover::plan::Wish;
-use crate::group::task::{Board, Order};
+use crate::group::task::{OperatorCommand, StatusBoard};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -90,23 +90,23 @@
 /// The door.
 pub struct Door {
     operations: Operations,
-    group: Option<Rc<Board>>,
+    group: Option<Rc<StatusBoard>>,
     lobby: Rc<Lobby>,
 }
 
 impl Door {
     /// A door to these operations, with seats of its own.
-    pub fn new(operations: Operations, group: Option<Rc<Board>>, lobby: Rc<Lobby>) -> Rc<Door> {
+    pub fn new(operations: Operations, group: Option<Rc<StatusBoard>>, lobby: Rc<Lobby>) -> Rc<Door> {
         Rc::new(Door { operations, group, lobby })
     }
 
     fn zones(&self) -> Option<String> {
-        self.group.as_ref()?.zones()
+        self.group.as_ref()?.zone_status()
     }
 
-    fn order(&self, order: Order) -> String {
+    fn order(&self, order: OperatorCommand) -> String {
         if let Some(group) = &self.group {
-            group.order(order);
+            group.send(order);
         }
         "200 ordered\r\n".into()
     }
@@ -128,16 +128,16 @@
                 "400 no group here: see [group] in docs/group.md\r\n".into()
             }
             Some(Call::Group) => {
-                let text = self.group.as_ref().map(|group| group.text()).unwrap_or_default();
+                let text = self.group.as_ref().map(|group| group.status()).unwrap_or_default();
                 format!("200 group\r\n{text}EOF\r\n")
             }
-            Some(Call::StepDown) => self.order(Order::StepDown),
-            Some(Call::GiveUp) => self.order(Order::GiveUp),
+            Some(Call::StepDown) => self.order(OperatorCommand::StepDown),
+            Some(Call::GiveUp) => self.order(OperatorCommand::ReleaseTasks),
             Some(Call::Zones | Call::Zone(..)) if self.zones().is_none() => {
                 "400 no plan for zones here: see [failover] in docs/failover.md\r\n".into()
             }
             Some(Call::Zones) => format!("200 zones\r\n{}EOF\r\n", self.zones().unwrap_or_default()),
-            Some(Call::Zone(zone, wish, lasts)) => self.order(Order::Zone(zone, wish, lasts)),
+            Some(Call::Zone(zone, wish, lasts)) => self.order(OperatorCommand::Zone(zone, wish, lasts)),
             None => "400 unknown call: HEALTH, DUMP, LEAVE, JOIN, GROUP, STEPDOWN, GIVEUP, ZONES, EVACUATE, HOLD or RELEASE\r\n".into(),
         }
     }
--- a/src/operator/group.rs
+++ b/src/operator/group.rs
@@ -2,7 +2,7 @@
 
 use super::spans::Span;
 use crate::api::Micros;
-use crate::group::{Settings, ACCOUNT, REBALANCE};
+use crate::group::{Settings, ACCOUNT_TASK, REBALANCE_TASK};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -78,12 +78,12 @@
             told => told.as_ref().map_or(0.01, |v| *v.get_ref()),
         };
         Ok(Settings {
-            probe: span(&self.probe, PROBE, "probe")?,
-            span: span(&self.span, SPAN, "span")?,
-            turn: span(&self.turn, TURN, "turn")?,
+            probe_interval: span(&self.probe, PROBE, "probe")?,
+            lease_span: span(&self.span, SPAN, "span")?,
+            max_hold: span(&self.turn, TURN, "turn")?,
             drift: (drift * 1e6) as u64,
-            tasks: self.tasks.unwrap_or_else(|| vec![REBALANCE.into(), ACCOUNT.into()]),
-            account,
+            tasks: self.tasks.unwrap_or_else(|| vec![REBALANCE_TASK.into(), ACCOUNT_TASK.into()]),
+            account_interval: account,
             name: self.name,
             listen: self.listen,
             key: self.key,
@@ -92,7 +92,7 @@
             voters: self.voters.into_inner(),
             members: self.members.into_inner(),
             folder: self.folder,
-            print,
+            fingerprint: print,
         })
     }
 }
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -8,8 +8,8 @@
 use crate::broker::zones::Place;
 use crate::broker::{Broker, ListState};
 use crate::config::Config;
-use crate::group::task::{Group, Order};
-use crate::group::ACCOUNT;
+use crate::group::task::{Group, OperatorCommand};
+use crate::group::ACCOUNT_TASK;
 use crate::logging;
 use crate::net;
 use crate::net::admin::{self, Door};
@@ -110,10 +110,10 @@
     let mut group = None;
     if let Some(mut settings) = operator.group {
         // Where there are no contracts there is no account.
-        settings.tasks.retain(|task| task != ACCOUNT || accounted);
+        settings.tasks.retain(|task| task != ACCOUNT_TASK || accounted);
         let (mut task, board) = Group::start(settings, &config.name, started, seed).await?;
         if let Some((terms, classes)) = plans {
-            task.plans(&terms, broker.names().zones(), classes);
+            task.enable_zone_plans(&terms, broker.names().zones(), classes);
         }
         spawn_local(task.run(broker.clone()));
         group = Some(board);
@@ -206,7 +206,7 @@
     };
     let ends = async {
         term.recv().await;
-        group.iter().for_each(|group| group.order(Order::Leave));
+        group.iter().for_each(|group| group.send(OperatorCommand::LeaveGroup));
         if let Some(place) = &place {
             upgrade::leave(&broker, place, &config.name, broker.now() + span(&broker) + OVERTIME);
         }
