--- a/src/group/account.rs
+++ b/src/group/account.rs
@@ -6,19 +6,19 @@
 //! twice: of a process and team the latest row is taken. What a holder was told and had not written when it was lost is told
 //! to the next one again by those who counted it; a process that has ended since is in the pages written before.
 
-use super::words::Report;
+use super::messages::UsageReport;
 use crate::api::Micros;
 use crate::contracts::row::Row;
 use std::collections::BTreeMap;
 
 /// Rows that are held at most, so that nobody can fill a holder's memory.
-const MOST: usize = 16_384;
+const MAX_ROWS: usize = 16_384;
 
 /// One page.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Page {
+pub struct AccountPage {
     /// Its number.
-    pub page: u64,
+    pub number: u64,
     /// Under which token it was written.
     pub token: u64,
     /// Of each process, by name and start: its rows.
@@ -29,32 +29,44 @@
 
 /// What the holder was told.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct AccountBook {
     rows: BTreeMap<(String, u64, String), Row>,
-    heard: BTreeMap<String, Micros>,
+    last_report: BTreeMap<String, Micros>,
 }
 
-impl Book {
+impl AccountBook {
     /// A report came, late, doubled or in order.
-    pub fn take(&mut self, now: Micros, report: Report) {
+    pub fn add_report(&mut self, now: Micros, report: UsageReport) {
         for row in report.rows {
             let key = (report.balancer.clone(), report.started, row.team.clone());
             let known = self.rows.get(&key);
-            if known.map_or(self.rows.len() < MOST, |known| row.as_late_as(known)) {
+            if known.map_or(self.rows.len() < MAX_ROWS, |known| row.as_late_as(known)) {
                 self.rows.insert(key, row);
             }
         }
-        self.heard.insert(report.balancer, now);
-        while self.heard.len() > MOST {
-            self.heard.pop_first();
+        self.last_report.insert(report.balancer, now);
+        while self.last_report.len() > MAX_ROWS {
+            self.last_report.pop_first();
         }
     }
 
     /// The page with this number, written now.
-    pub fn page(&self, now: Micros, page: u64, token: u64, members: &[String], every: Micros) -> Page {
-        let lately = |name: &&String| self.heard.get(*name).is_none_or(|at| at + 2 * every < now);
+    pub fn build_page(
+        &self,
+        now: Micros,
+        number: u64,
+        token: u64,
+        members: &[String],
+        interval: Micros,
+    ) -> AccountPage {
+        let overdue = |name: &&String| self.last_report.get(*name).is_none_or(|at| at + 2 * interval < now);
         let rows = self.rows.iter().map(|((name, started, _), row)| (name.clone(), *started, row.clone()));
-        Page { page, token, rows: rows.collect(), missing: members.iter().filter(lately).cloned().collect() }
+        AccountPage {
+            number,
+            token,
+            rows: rows.collect(),
+            missing: members.iter().filter(overdue).cloned().collect(),
+        }
     }
 }
 
@@ -63,9 +75,9 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn report(name: &str, asked: u64) -> Report {
+    fn report(name: &str, asked: u64) -> UsageReport {
         let row = Row { team: "t".into(), asked, allowed: asked as f64, ..Row::default() };
-        Report { balancer: name.into(), started: 1, rows: vec![row] }
+        UsageReport { balancer: name.into(), started: 1, rows: vec![row] }
     }
 
     proptest! {
@@ -75,14 +87,14 @@
         fn pages_of_any_holders_sum_to_what_was_counted(
             told in prop::collection::vec((0usize..4, 0u64..50, any::<bool>()), 1..40), from in 0usize..40,
         ) {
-            let (mut books, mut most) = ([Book::default(), Book::default()], [None; 4]);
+            let (mut books, mut most) = ([AccountBook::default(), AccountBook::default()], [None; 4]);
             for (n, (who, asked, twice)) in told.iter().enumerate() {
                 let book = &mut books[usize::from(n >= from)];
-                (0..1 + usize::from(*twice)).for_each(|_| book.take(1, report(&format!("n{who}"), *asked)));
+                (0..1 + usize::from(*twice)).for_each(|_| book.add_report(1, report(&format!("n{who}"), *asked)));
                 most[*who] = most[*who].max(Some(*asked));
             }
             let mut latest: BTreeMap<(String, u64), Row> = BTreeMap::new();
-            for page in [books[1].page(2, 2, 2, &[], 1), books[0].page(2, 1, 1, &[], 1)] {
+            for page in [books[1].build_page(2, 2, 2, &[], 1), books[0].build_page(2, 1, 1, &[], 1)] {
                 for (name, started, row) in page.rows {
                     let known = latest.entry((name, started)).or_default();
                     if row.as_late_as(known) {
@@ -97,10 +109,10 @@
     /// Guards against a page that passes for whole while a member has told nothing.
     #[test]
     fn who_told_nothing_lately_is_named() {
-        let mut book = Book::default();
-        book.take(10, report("a", 1));
-        book.take(50, report("b", 1));
+        let mut book = AccountBook::default();
+        book.add_report(10, report("a", 1));
+        book.add_report(50, report("b", 1));
         let all = ["a".to_string(), "b".to_string(), "c".to_string()];
-        assert_eq!(book.page(60, 1, 1, &all, 10).missing, ["a", "c"]);
+        assert_eq!(book.build_page(60, 1, 1, &all, 10).missing, ["a", "c"]);
     }
 }
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -3,13 +3,13 @@
 //! Promised: a task's act is begun only under a lease that is its own by its own clock, both when the act is decided and when it
 //! leaves the [`Outbox`]; what it knows of the record is never older than what it knew before. A datagram that cannot be read is counted and changes nothing.
 
-use super::account::{Book, Page};
+use super::account::{AccountBook, AccountPage};
 use super::folder::Keep;
 use super::lease::{Gate, Holder, Terms};
+use super::messages::{LeasedAction, Message, Reassembly, Request, RequestBody, Response, ResponseBody};
 use super::outbox::{LeaseToken, Outbox};
 use super::record::{Outcome, State};
 use super::voter::{Said, Voter};
-use super::words::{Act, Answer, Parts, Question, Reply, Wish, Words};
 use crate::api::Micros;
 use crate::failover::evidence::Digest;
 use crate::failover::plan::{Plan, Planner};
@@ -23,35 +23,35 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Somebody came or went.
-    Peer(Note),
+    PeerChanged(Note),
     /// It holds the task from now on.
-    Taken(String, u64),
+    LeaseAcquired(String, u64),
     /// It acts no longer under this token.
-    Let(String, u64),
+    LeaseEnded(String, u64),
     /// An act of somebody's came; whether it is carried out.
-    Act(Act, bool),
+    Action(LeasedAction, bool),
     /// Its folder failed: it votes no more.
-    Silenced(String),
+    VotingStopped(String),
     /// A page of the fleet's account is to be written.
-    Page(Page),
+    AccountPage(AccountPage),
     /// A balancer's digest came to whoever makes the plan.
-    Seen(Digest),
+    DigestReceived(Digest),
     /// Another plan is proposed.
-    Planned(Plan),
+    PlanProposed(Plan),
 }
 
 /// Between two looks at the record that nobody's gossip gave cause for, and two questions for the same one.
-const EVERY: Micros = 10_000_000;
-const AGAIN: Micros = 300_000;
+const RECORD_POLL_INTERVAL: Micros = 10_000_000;
+const RECORD_REQUEST_INTERVAL: Micros = 300_000;
 /// Between two tellings of an act to so many members at most; to more it is told less often.
-const ACTS: Micros = 100_000;
-const MANY: usize = 15;
+const ACTION_INTERVAL: Micros = 100_000;
+const MEMBERS_PER_ACTION_INTERVAL: usize = 15;
 /// The longest words in one datagram, and in each of several.
-const ONE: usize = LONGEST - ADDED;
-const PIECE: usize = ONE - 16;
+const MAX_MESSAGE_BYTES: usize = LONGEST - ADDED;
+const MAX_FRAGMENT_BYTES: usize = MAX_MESSAGE_BYTES - 16;
 /// What a question was for.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Asked {
+pub(super) enum PendingRequest {
     /// A task's lease, by its number there.
     Lease(String, u64),
     /// A page of the account.
@@ -60,13 +60,13 @@
 
 /// What a member does for the fleet, and how.
 #[derive(Clone, Debug)]
-pub struct Duties {
+pub struct TaskSettings {
     /// The tasks that it wants.
     pub tasks: Vec<String>,
     /// It holds one for so long at most.
-    pub turn: Micros,
+    pub max_hold: Micros,
     /// How often the account is written.
-    pub account: Micros,
+    pub account_interval: Micros,
 }
 
 /// A member.
@@ -75,33 +75,33 @@
     voters: Vec<String>,
     voter: Option<Voter<K>>,
     /// The record as last heard, where it does not vote itself.
-    heard: State,
+    received_record: State,
     terms: Terms,
-    pub(super) duties: Duties,
+    pub(super) task_settings: TaskSettings,
     holders: BTreeMap<String, Holder>,
     /// Under which token it acts, since when, and when it told of it last.
     acting: BTreeMap<String, (u64, Micros, Micros)>,
     gate: Gate,
     /// Whom to ask: the voter that led when last heard of, else one after the other.
-    ask: usize,
+    next_voter: usize,
     /// Questions that are out.
-    asked: BTreeMap<u64, Asked>,
-    questions: u64,
+    pending_requests: BTreeMap<u64, PendingRequest>,
+    last_request_id: u64,
     /// Answers to questions of its own: there is no address of its own to send them to.
-    own_answers: Vec<Answer>,
-    looked: Micros,
+    responses_to_self: Vec<Response>,
+    last_record_poll: Micros,
     /// When a later record was last asked for.
-    wanted: Micros,
-    parts: Parts,
-    marks: u64,
-    pub(super) book: Book,
-    pub(super) paged: Micros,
+    last_record_request: Micros,
+    reassembly: Reassembly,
+    last_message_id: u64,
+    pub(super) account_book: AccountBook,
+    pub(super) last_page: Micros,
     /// Makes plans for zones, where this process can.
     pub(super) planner: Option<Planner>,
     messages: Outbox<(SocketAddr, Vec<u8>)>,
     events: Outbox<Event>,
     /// Datagrams that could not be read.
-    pub junk: u64,
+    pub unreadable: u64,
 }
 
 impl<K: Keep> Member<K> {
@@ -112,7 +112,7 @@
         voters: &[String],
         voter: Option<Voter<K>>,
         terms: Terms,
-        duties: Duties,
+        task_settings: TaskSettings,
     ) -> Member<K> {
         let mut voters = voters.to_vec();
         voters.sort();
@@ -122,199 +122,203 @@
         Member {
             voters,
             voter,
-            heard: State::default(),
+            received_record: State::default(),
             terms,
-            holders: duties.tasks.iter().map(holder).collect(),
-            duties,
+            holders: task_settings.tasks.iter().map(holder).collect(),
+            task_settings,
             acting: BTreeMap::new(),
             gate: Gate::default(),
-            ask: peers.me().started as usize,
-            asked: BTreeMap::new(),
-            questions: 0,
-            own_answers: Vec::new(),
-            looked: now,
-            wanted: 0,
-            parts: Parts::default(),
-            marks: peers.me().started.wrapping_mul(0x9E37_79B9_7F4A_7C15),
-            book: Book::default(),
-            paged: now,
+            next_voter: peers.me().started as usize,
+            pending_requests: BTreeMap::new(),
+            last_request_id: 0,
+            responses_to_self: Vec::new(),
+            last_record_poll: now,
+            last_record_request: 0,
+            reassembly: Reassembly::default(),
+            last_message_id: peers.me().started.wrapping_mul(0x9E37_79B9_7F4A_7C15),
+            account_book: AccountBook::default(),
+            last_page: now,
             planner: None,
             messages: Outbox::default(),
             events: Outbox::default(),
-            junk: 0,
+            unreadable: 0,
             peers,
         }
     }
 
     /// It can make plans for zones.
-    pub fn plans(&mut self, planner: Planner) {
+    pub fn set_planner(&mut self, planner: Planner) {
         self.planner = Some(planner);
     }
 
     /// The record as it is known here.
     pub fn record(&self) -> &State {
-        self.voter.as_ref().map_or(&self.heard, |voter| match voter.state().version >= self.heard.version {
-            true => voter.state(),
-            false => &self.heard,
+        self.voter.as_ref().map_or(&self.received_record, |voter| {
+            match voter.state().version >= self.received_record.version {
+                true => voter.state(),
+                false => &self.received_record,
+            }
         })
     }
 
     /// The token under which an act on this task may begin now.
-    pub fn acts(&self, now: Micros, task: &str) -> Option<u64> {
+    pub fn acting_token(&self, now: Micros, task: &str) -> Option<u64> {
         self.holders.get(task)?.acts(now).filter(|token| self.acting.get(task).is_some_and(|a| a.0 == *token))
     }
 
     /// For how long acts on this task may still begin, in microseconds; 0 where none may.
     pub fn lease_left(&self, now: Micros, task: &str) -> Micros {
-        match self.acts(now, task) {
+        match self.acting_token(now, task) {
             Some(_) => self.holders.get(task).map_or(0, |holder| holder.left(now)),
             None => 0,
         }
     }
 
     /// A datagram's words.
-    pub fn read(&mut self, now: Micros, words: &[u8]) {
-        match Words::read(words) {
-            Some(Words::Gossip { from, version, bytes }) => {
-                self.junk += u64::from(self.peers.read(now, &bytes).is_err());
-                self.later(now, &from, version);
+    pub fn receive(&mut self, now: Micros, datagram: &[u8]) {
+        match Message::decode(datagram) {
+            Some(Message::Gossip { from, version, bytes }) => {
+                self.unreadable += u64::from(self.peers.read(now, &bytes).is_err());
+                self.request_newer_record(now, &from, version);
             }
-            Some(Words::Voters(bytes)) => {
+            Some(Message::Consensus(bytes)) => {
                 let read = self.voter.as_mut().map(|voter| voter.read(&bytes));
-                self.junk += u64::from(matches!(read, Some(Err(_))));
+                self.unreadable += u64::from(matches!(read, Some(Err(_))));
             }
-            Some(Words::Beacon(beacon)) => self.voter.iter_mut().for_each(|voter| voter.beacon(&beacon)),
-            Some(Words::Question(question)) => self.question(question),
-            Some(Words::Answer(answer)) => self.answer(now, answer),
-            Some(Words::Act(act)) => {
-                let passes = self.gate.passes(&act.task, act.token);
-                self.report(Event::Act(act, passes));
+            Some(Message::Beacon(beacon)) => self.voter.iter_mut().for_each(|voter| voter.beacon(&beacon)),
+            Some(Message::Request(request)) => self.handle_request(request),
+            Some(Message::Response(response)) => self.handle_response(now, response),
+            Some(Message::Action(action)) => {
+                let passes = self.gate.passes(&action.task, action.token);
+                self.push_event(Event::Action(action, passes));
             }
-            Some(Words::Report(report)) => self.book.take(now, report),
-            Some(Words::Digest(digest)) => self.seen(now, digest),
-            Some(Words::Part(part)) => {
-                if let Some(whole) = self.parts.add(part) {
-                    // Parts of parts are nobody's words.
+            Some(Message::UsageReport(report)) => self.account_book.add_report(now, report),
+            Some(Message::Digest(digest)) => self.receive_digest(now, digest),
+            Some(Message::Fragment(fragment)) => {
+                if let Some(whole) = self.reassembly.add(fragment) {
+                    // Reassembly of parts are nobody's words.
                     match whole.first() {
-                        Some(b'p') | None => self.junk += 1,
-                        Some(_) => self.read(now, &whole),
+                        Some(b'p') | None => self.unreadable += 1,
+                        Some(_) => self.receive(now, &whole),
                     }
                 }
             }
-            None => self.junk += 1,
+            None => self.unreadable += 1,
         }
     }
 
     /// Somebody has a record of this version: it is asked for, of whoever has it.
-    fn later(&mut self, now: Micros, from: &str, version: u64) {
+    fn request_newer_record(&mut self, now: Micros, from: &str, version: u64) {
         let mine = self.record().version;
-        if version > mine && now >= self.wanted + AGAIN {
-            self.wanted = now;
-            self.ask_of(from, Wish::Later(mine), None);
+        if version > mine && now >= self.last_record_request + RECORD_REQUEST_INTERVAL {
+            self.last_record_request = now;
+            self.request_from(from, RequestBody::RecordNewerThan(mine), None);
         }
     }
 
-    fn question(&mut self, question: Question) {
-        let Question { id, from, what } = question;
-        let reply = match what {
-            Wish::Change(command) => {
+    fn handle_request(&mut self, request: Request) {
+        let Request { id, from, body } = request;
+        let body = match body {
+            RequestBody::Change(command) => {
                 if self.voter.as_mut().is_some_and(|voter| voter.ask(&from, id, &command)) {
                     return;
                 }
-                Reply::Elsewhere(self.voter.as_ref().and_then(|voter| voter.leader().0.map(Into::into)))
+                ResponseBody::Redirect(self.voter.as_ref().and_then(|voter| voter.leader().0.map(Into::into)))
             }
             // Whatever is in anybody's record was decided.
-            Wish::Later(version) if self.record().version > version => Reply::Record(self.record().clone()),
-            Wish::Later(_) => Reply::Same,
+            RequestBody::RecordNewerThan(version) if self.record().version > version => {
+                ResponseBody::Record(self.record().clone())
+            }
+            RequestBody::RecordNewerThan(_) => ResponseBody::NoNewerRecord,
         };
-        self.reply(&from, Answer { id, what: reply });
+        self.respond(&from, Response { id, body });
     }
 
-    fn reply(&mut self, to: &str, answer: Answer) {
+    fn respond(&mut self, to: &str, response: Response) {
         if to == self.peers.me().name {
-            self.own_answers.push(answer);
+            self.responses_to_self.push(response);
         } else {
-            self.say(to, &Words::Answer(answer));
+            self.send(to, &Message::Response(response));
         }
     }
 
-    fn take_own_answers(&mut self, now: Micros) {
-        for answer in std::mem::take(&mut self.own_answers) {
-            self.answer(now, answer);
+    fn handle_responses_to_self(&mut self, now: Micros) {
+        for response in std::mem::take(&mut self.responses_to_self) {
+            self.handle_response(now, response);
         }
     }
 
-    fn answer(&mut self, now: Micros, answer: Answer) {
-        let asked = self.asked.remove(&answer.id);
-        tracing::trace!(id = answer.id, "group: is answered");
-        match answer.what {
-            Reply::Outcome(Outcome::Stale) if asked.is_none() => {
+    fn handle_response(&mut self, now: Micros, response: Response) {
+        let pending = self.pending_requests.remove(&response.id);
+        tracing::trace!(id = response.id, "group: is answered");
+        match response.body {
+            ResponseBody::Outcome(Outcome::Stale) if pending.is_none() => {
                 tracing::debug!("group: a proposal was based on an older record, or its lease is over");
             }
-            Reply::Outcome(outcome) => match asked {
-                Some(Asked::Lease(task, id)) => {
+            ResponseBody::Outcome(outcome) => match pending {
+                Some(PendingRequest::Lease(task, id)) => {
                     self.holders.entry(task).and_modify(|holder| holder.answer(now, id, &outcome));
                 }
-                Some(Asked::Page(page)) if outcome == Outcome::Done => self.write(now, page),
+                Some(PendingRequest::Page(page)) if outcome == Outcome::Done => self.write_page(now, page),
                 _ => {}
             },
-            Reply::Elsewhere(leader) => {
+            ResponseBody::Redirect(leader) => {
                 tracing::debug!(leader, "group: a question went to a voter that does not lead");
                 let known = leader.and_then(|name| self.voters.iter().position(|voter| *voter == name));
-                self.ask = known.unwrap_or(self.ask + 1);
+                self.next_voter = known.unwrap_or(self.next_voter + 1);
             }
-            Reply::Record(state) if state.version > self.heard.version => {
+            ResponseBody::Record(state) if state.version > self.received_record.version => {
                 // The voters are those of the record, whatever the file says.
                 if !state.seats.is_empty() {
                     self.voters = state.seats.values().cloned().collect();
                 }
-                self.heard = state;
+                self.received_record = state;
             }
-            Reply::Record(_) | Reply::Same => {}
+            ResponseBody::Record(_) | ResponseBody::NoNewerRecord => {}
         }
     }
 
-    fn gossip(&mut self) {
+    fn send_gossip(&mut self) {
         let (from, version) = (self.peers.me().name.clone(), self.record().version);
         for (to, bytes) in self.peers.sends() {
-            let words = Words::Gossip { from: from.clone(), version, bytes };
-            self.messages.push(None, (to, words.write()));
+            let message = Message::Gossip { from: from.clone(), version, bytes };
+            self.messages.push(None, (to, message.encode()));
         }
     }
 
-    pub(super) fn say(&mut self, to: &str, words: &Words) {
-        self.send(None, to, words);
+    pub(super) fn send(&mut self, to: &str, message: &Message) {
+        self.send_under_lease(None, to, message);
     }
 
     /// Queues a message; with a lease it is sent only while the lease lasts.
-    fn send(&mut self, lease: Option<&LeaseToken>, to: &str, words: &Words) {
+    fn send_under_lease(&mut self, lease: Option<&LeaseToken>, to: &str, message: &Message) {
         let Some(at) = self.peers.address(to) else { return };
-        let bytes = words.write();
-        if bytes.len() <= ONE {
+        let bytes = message.encode();
+        if bytes.len() <= MAX_MESSAGE_BYTES {
             return self.messages.push(lease.cloned(), (at, bytes));
         }
-        self.marks = self.marks.wrapping_add(1);
-        let Some(parts) = Parts::cut(self.marks, &bytes, PIECE) else {
+        self.last_message_id = self.last_message_id.wrapping_add(1);
+        let Some(fragments) = Reassembly::split(self.last_message_id, &bytes, MAX_FRAGMENT_BYTES) else {
             return tracing::error!("group: {} bytes are too long for so many datagrams", bytes.len());
         };
-        for part in parts {
-            self.messages.push(lease.cloned(), (at, part.write()));
+        for fragment in fragments {
+            self.messages.push(lease.cloned(), (at, fragment.encode()));
         }
     }
 
     /// Queues an event that needs no lease.
-    fn report(&mut self, event: Event) {
+    fn push_event(&mut self, event: Event) {
         self.events.push(None, event);
     }
 
     /// Queues an event that is carried out only while the grant lasts under which it was decided.
-    pub(super) fn report_under(&mut self, task: &str, token: u64, event: Event) {
+    pub(super) fn push_event_under(&mut self, task: &str, token: u64, event: Event) {
         self.events.push(Some(LeaseToken { task: task.into(), token }), event);
     }
 
     /// Who is asked for a change. A voter knows who leads; only the leader can change the record, so a voter that asks anyone else
     /// loses the request. Others ask one voter after the other until one names the leader.
-    pub(super) fn asks(&self) -> Option<&str> {
+    pub(super) fn change_recipient(&self) -> Option<&str> {
         if let Some(voter) = &self.voter {
             let me = self.peers.me().name.as_str();
             let leader = if voter.leads() { Some(me) } else { voter.leader().0 };
@@ -322,58 +326,58 @@
                 return leader;
             }
         }
-        self.voters.get(self.ask % self.voters.len().max(1)).map(String::as_str)
+        self.voters.get(self.next_voter % self.voters.len().max(1)).map(String::as_str)
     }
 
-    pub(super) fn wish(&mut self, what: Wish, asked: Option<Asked>) {
+    pub(super) fn request(&mut self, body: RequestBody, pending: Option<PendingRequest>) {
         // The words go the same way to itself.
-        let Some(to) = self.asks().map(String::from) else { return };
-        self.ask_of(&to, what, asked);
+        let Some(to) = self.change_recipient().map(String::from) else { return };
+        self.request_from(&to, body, pending);
     }
 
-    fn ask_of(&mut self, to: &str, what: Wish, asked: Option<Asked>) {
-        self.questions += 1;
-        let (id, from) = (self.questions, self.peers.me().name.clone());
-        if let Some(asked) = asked {
-            self.asked.insert(id, asked);
-            while self.asked.len() > 64 {
-                self.asked.pop_first();
+    fn request_from(&mut self, to: &str, body: RequestBody, pending: Option<PendingRequest>) {
+        self.last_request_id += 1;
+        let (id, from) = (self.last_request_id, self.peers.me().name.clone());
+        if let Some(pending) = pending {
+            self.pending_requests.insert(id, pending);
+            while self.pending_requests.len() > 64 {
+                self.pending_requests.pop_first();
             }
         }
-        tracing::trace!(id, to, ?what, "group: asks");
-        let question = Question { id, from: from.clone(), what };
+        tracing::trace!(id, to, what = ?body, "group: asks");
+        let request = Request { id, from: from.clone(), body };
         match to == from {
-            true => self.question(question),
-            false => self.say(to, &Words::Question(question)),
+            true => self.handle_request(request),
+            false => self.send(to, &Message::Request(request)),
         }
     }
 
     /// Does what is due.
-    pub fn turn(&mut self, now: Micros) {
+    pub fn tick(&mut self, now: Micros) {
         self.peers.turn(now);
         let notes = self.peers.notes();
-        notes.into_iter().for_each(|note| self.report(Event::Peer(note)));
-        self.gossip();
-        self.vote(now);
-        self.take_own_answers(now);
+        notes.into_iter().for_each(|note| self.push_event(Event::PeerChanged(note)));
+        self.send_gossip();
+        self.run_voter(now);
+        self.handle_responses_to_self(now);
         for task in self.holders.keys().cloned().collect::<Vec<_>>() {
-            self.task(now, &task);
+            self.run_task(now, &task);
         }
-        self.page(now);
-        self.plan(now);
-        if now >= self.looked + EVERY {
-            self.looked = now;
-            self.ask += usize::from(self.holders.is_empty());
+        self.propose_page(now);
+        self.propose_plan(now);
+        if now >= self.last_record_poll + RECORD_POLL_INTERVAL {
+            self.last_record_poll = now;
+            self.next_voter += usize::from(self.holders.is_empty());
             if self.voter.is_none() {
-                self.wish(Wish::Later(self.heard.version), None);
+                self.request(RequestBody::RecordNewerThan(self.received_record.version), None);
             }
         }
     }
 
-    fn vote(&mut self, now: Micros) {
-        if self.voter.as_ref().is_some_and(|voter| voter.replaced(&self.heard)) {
+    fn run_voter(&mut self, now: Micros) {
+        if self.voter.as_ref().is_some_and(|voter| voter.replaced(&self.received_record)) {
             self.voter = None;
-            self.report(Event::Silenced("another has its place in the record".into()));
+            self.push_event(Event::VotingStopped("another has its place in the record".into()));
         }
         // Answers to itself may let the voter say more.
         for _ in 0..2 {
@@ -382,85 +386,86 @@
                 Ok(said) => {
                     for said in said {
                         match said {
-                            Said::Message { to, bytes } => self.say(&to, &Words::Voters(bytes)),
-                            Said::Beacon { to, beacon } => self.say(&to, &Words::Beacon(beacon)),
+                            Said::Message { to, bytes } => self.send(&to, &Message::Consensus(bytes)),
+                            Said::Beacon { to, beacon } => self.send(&to, &Message::Beacon(beacon)),
                             Said::Answer { to, id, outcome } => {
-                                self.reply(&to, Answer { id, what: Reply::Outcome(outcome) });
+                                self.respond(&to, Response { id, body: ResponseBody::Outcome(outcome) });
                             }
                         }
                     }
                 }
                 Err(e) => {
-                    self.heard = voter.state().clone();
+                    self.received_record = voter.state().clone();
                     self.voter = None;
-                    self.report(Event::Silenced(e));
+                    self.push_event(Event::VotingStopped(e));
                 }
             }
         }
     }
 
-    fn task(&mut self, now: Micros, task: &str) {
+    fn run_task(&mut self, now: Micros, task: &str) {
         let Some(holder) = self.holders.get_mut(task) else { return };
-        let asks = holder.turn(now);
-        let may = holder.acts(now);
-        if let Some((id, command)) = asks {
+        let wanted = holder.turn(now);
+        let allowed = holder.acts(now);
+        if let Some((id, command)) = wanted {
             // Whoever did not answer in a sixth of a span is not asked again at once.
-            let out = |asked: &Asked| matches!(asked, Asked::Lease(of, _) if of == task);
-            if self.asked.values().any(out) {
-                self.ask += 1;
-                self.asked.retain(|_, asked| match asked {
-                    Asked::Lease(of, n) => of != task || *n + 2 >= id,
-                    Asked::Page(_) => true,
+            let unanswered =
+                |pending: &PendingRequest| matches!(pending, PendingRequest::Lease(of, _) if of == task);
+            if self.pending_requests.values().any(unanswered) {
+                self.next_voter += 1;
+                self.pending_requests.retain(|_, pending| match pending {
+                    PendingRequest::Lease(of, n) => of != task || *n + 2 >= id,
+                    PendingRequest::Page(_) => true,
                 });
             }
-            self.wish(Wish::Change(command), Some(Asked::Lease(task.into(), id)));
+            self.request(RequestBody::Change(command), Some(PendingRequest::Lease(task.into(), id)));
         }
-        let was = self.acting.get(task).copied();
-        if let Some((token, _, _)) = was.filter(|was| may != Some(was.0)) {
+        let previous = self.acting.get(task).copied();
+        if let Some((token, _, _)) = previous.filter(|previous| allowed != Some(previous.0)) {
             self.acting.remove(task);
-            self.report(Event::Let(task.into(), token));
+            self.push_event(Event::LeaseEnded(task.into(), token));
         }
-        let Some(token) = may else { return };
-        if was.is_none_or(|was| was.0 != token) {
+        let Some(token) = allowed else { return };
+        if previous.is_none_or(|previous| previous.0 != token) {
             self.acting.insert(task.into(), (token, now, 0));
-            self.report(Event::Taken(task.into(), token));
+            self.push_event(Event::LeaseAcquired(task.into(), token));
         }
         let Some(acting) = self.acting.get_mut(task) else { return };
-        if now >= acting.1 + self.duties.turn {
-            return self.give_back(now, task);
+        if now >= acting.1 + self.task_settings.max_hold {
+            return self.release_task(now, task);
         }
         let members = self.peers.members();
-        if now >= acting.2 + ACTS * members.len().div_ceil(MANY) as Micros {
+        if now >= acting.2 + ACTION_INTERVAL * members.len().div_ceil(MEMBERS_PER_ACTION_INTERVAL) as Micros {
             acting.2 = now;
-            self.act(task, token, &members);
+            self.announce_action(task, token, &members);
         }
     }
 
     /// Acts on a task: tells all other members, and itself.
-    fn act(&mut self, task: &str, token: u64, members: &[peers::Member]) {
-        let act = Act { task: task.into(), token, holder: self.peers.me().name.clone() };
+    fn announce_action(&mut self, task: &str, token: u64, members: &[peers::Member]) {
+        let action = LeasedAction { task: task.into(), token, holder: self.peers.me().name.clone() };
         let lease = LeaseToken { task: task.into(), token };
-        for member in members.iter().filter(|member| member.name != act.holder) {
-            self.send(Some(&lease), &member.name, &Words::Act(act.clone()));
+        for member in members.iter().filter(|member| member.name != action.holder) {
+            self.send_under_lease(Some(&lease), &member.name, &Message::Action(action.clone()));
         }
         let passes = self.gate.passes(task, token);
-        self.events.push(Some(lease), Event::Act(act, passes));
+        self.events.push(Some(lease), Event::Action(action, passes));
     }
 
     /// Stops acting on a task, and lets another have it.
-    pub fn give_back(&mut self, now: Micros, task: &str) {
+    pub fn release_task(&mut self, now: Micros, task: &str) {
         let (rest, Some(holder)) = (self.terms.span / 2, self.holders.get_mut(task)) else { return };
         if let Some((id, command)) = holder.give_back(now, rest) {
-            self.wish(Wish::Change(command), Some(Asked::Lease(task.into(), id)));
+            self.request(RequestBody::Change(command), Some(PendingRequest::Lease(task.into(), id)));
         }
         if let Some((token, _, _)) = self.acting.remove(task) {
-            self.report(Event::Let(task.into(), token));
+            self.push_event(Event::LeaseEnded(task.into(), token));
         }
     }
 
     /// Gives back all that it holds.
-    pub fn give_up(&mut self, now: Micros) {
-        self.holders.keys().cloned().collect::<Vec<_>>().iter().for_each(|task| self.give_back(now, task));
+    pub fn release_all_tasks(&mut self, now: Micros) {
+        self.holders.keys().cloned().collect::<Vec<_>>().iter().for_each(|task| self.release_task(now, task));
     }
 
     /// Another voter leads, if this one does and another can.
@@ -469,23 +474,23 @@
     }
 
     /// It drains now, or no longer.
-    pub fn drains(&mut self, now: Micros, drains: bool) {
+    pub fn set_draining(&mut self, now: Micros, drains: bool) {
         self.peers.drains(now, drains);
     }
 
     /// It goes.
     pub fn leave(&mut self, now: Micros) {
-        self.give_up(now);
+        self.release_all_tasks(now);
         self.holders.clear();
         self.peers.leave(now);
-        self.gossip();
+        self.send_gossip();
     }
 
     /// The next message to be sent, and where to. `now` is read anew for each: an act whose lease has ended since it was decided
     /// is dropped.
     pub fn next_message(&mut self, now: Micros) -> Option<(SocketAddr, Vec<u8>)> {
         let mut messages = std::mem::take(&mut self.messages);
-        let message = messages.pop(|lease| self.allows(now, lease));
+        let message = messages.pop(|lease| self.lease_allows(now, lease));
         self.messages = messages;
         message
     }
@@ -494,24 +499,24 @@
     /// has ended since is dropped.
     pub fn next_event(&mut self, now: Micros) -> Option<Event> {
         let mut events = std::mem::take(&mut self.events);
-        let event = events.pop(|lease| self.allows(now, lease));
+        let event = events.pop(|lease| self.lease_allows(now, lease));
         self.events = events;
         event
     }
 
     /// Whether an act under this grant may begin now.
-    fn allows(&self, now: Micros, lease: &LeaseToken) -> bool {
-        self.acts(now, &lease.task) == Some(lease.token)
+    fn lease_allows(&self, now: Micros, lease: &LeaseToken) -> bool {
+        self.acting_token(now, &lease.task) == Some(lease.token)
     }
 
     /// Whether something is decided under a lease and not yet done.
     #[cfg(feature = "failpoints")]
-    pub fn has_undone_acts(&self) -> bool {
+    pub fn has_pending_actions(&self) -> bool {
         self.messages.holds_lease_entries()
     }
 
     /// All that an operator wants to see, a line each.
-    pub fn show(&self, now: Micros) -> String {
+    pub fn status_text(&self, now: Micros) -> String {
         let mut text = String::new();
         for m in self.peers.members() {
             let (drains, voter) = (
@@ -538,7 +543,7 @@
             let left = if left > 0 { format!(" left={left}ms") } else { String::new() };
             let _ = write!(text, "lease {task} holder={holder} token={}{left}\r\n", lease.token);
         }
-        let _ = write!(text, "unread {}\r\n", self.junk);
+        let _ = write!(text, "unread {}\r\n", self.unreadable);
         text
     }
 }
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -47,13 +47,13 @@
                 drains: false,
             };
             let book = (0..3).filter(|&j| j != i).map(|j| (names[j].clone(), address(j))).collect();
-            let peers = Peers::new(me, book, SECOND, ONE - 80, i as u64);
+            let peers = Peers::new(me, book, SECOND, MAX_MESSAGE_BYTES - 80, i as u64);
             let voter = names.get(i).map(|name| {
                 Voter::new(0, name, &names, TERMS, Nowhere, Kept::founder(name, &names)).unwrap()
             });
             let tasks = if i < wants { vec!["rebalance".into(), ACCOUNT_TASK.into()] } else { Vec::new() };
-            let duties = Duties { tasks, turn: 60 * SECOND, account: 2 * SECOND };
-            Member::new(0, peers, &names, voter, TERMS, duties)
+            let task_settings = TaskSettings { tasks, max_hold: 60 * SECOND, account_interval: 2 * SECOND };
+            Member::new(0, peers, &names, voter, TERMS, task_settings)
         };
         Net { now: 0, all: (0..n).map(one).collect(), bytes: vec![(0, 0); n], events: Vec::new() }
     }
@@ -63,7 +63,7 @@
         while self.now < until {
             self.now += 50_000;
             for i in 0..self.all.len() {
-                self.all[i].turn(self.now);
+                self.all[i].tick(self.now);
                 // What is said is heard at once, and answered.
                 let now = self.now;
                 let sends = |member: &mut Member<Nowhere>| {
@@ -72,10 +72,10 @@
                 let mut said = sends(&mut self.all[i]);
                 while let Some((to, words)) = said.pop() {
                     let j = usize::from(to.port() - 10_000);
-                    assert!(words.len() <= ONE, "{} bytes", words.len());
+                    assert!(words.len() <= MAX_MESSAGE_BYTES, "{} bytes", words.len());
                     self.bytes[j].0 += (words.len() + ADDED) as u64;
                     self.bytes[j].1 += 1;
-                    self.all[j].read(self.now, &words);
+                    self.all[j].receive(self.now, &words);
                     said.extend(sends(&mut self.all[j]));
                 }
                 let events = std::iter::from_fn(|| self.all[i].next_event(now));
@@ -101,12 +101,12 @@
             "{n} members: {voter} bytes a second to the busiest voter, {watcher:?} to the busiest watcher"
         );
         let holder = net.events.iter().rev().find_map(|(i, event)| match event {
-            Event::Taken(task, _) if task == "rebalance" => Some(*i),
+            Event::LeaseAcquired(task, _) if task == "rebalance" => Some(*i),
             _ => None,
         });
         // One lets go: how long until everybody knows of the next.
         let (now, token) = (net.now, net.all[0].record().tokens);
-        net.all[holder.unwrap()].give_back(now, "rebalance");
+        net.all[holder.unwrap()].release_task(now, "rebalance");
         let whole = |net: &Net| net.all.iter().all(|m| m.record().tokens > token);
         while !whole(&net) {
             assert!(net.now < now + 20 * SECOND, "{n}: not all have heard");
@@ -127,14 +127,14 @@
     let mut proposed = net.all[0].record().ordered;
     for round in 0..40 {
         for i in 0..3 {
-            net.all[i].order("z", Some(crate::failover::plan::Wish::Hold), 1_000);
+            net.all[i].order_zone("z", Some(crate::failover::plan::Wish::Hold), 1_000);
             proposed += 1;
             net.run(350_000);
             assert_eq!(
                 net.all[i].record().ordered,
                 proposed,
                 "round {round}: n{i} asks {:?}",
-                net.all[i].asks()
+                net.all[i].change_recipient()
             );
         }
     }
@@ -155,21 +155,21 @@
     };
     for second in 0..40 {
         let now = net.now;
-        (0..5).for_each(|i| net.all[i].count(now, &rows(second)));
+        (0..5).for_each(|i| net.all[i].report_usage(now, &rows(second)));
         if second == 25 {
-            (0..5).for_each(|i| net.all[i].give_back(now, ACCOUNT_TASK));
+            (0..5).for_each(|i| net.all[i].release_task(now, ACCOUNT_TASK));
         }
         net.run(SECOND);
     }
-    let pages: Vec<(usize, &Page)> = net
+    let pages: Vec<(usize, &AccountPage)> = net
         .events
         .iter()
         .filter_map(|(i, event)| match event {
-            Event::Page(page) => Some((*i, page)),
+            Event::AccountPage(page) => Some((*i, page)),
             _ => None,
         })
         .collect();
-    let numbers: Vec<u64> = pages.iter().map(|(_, page)| page.page).collect();
+    let numbers: Vec<u64> = pages.iter().map(|(_, page)| page.number).collect();
     assert!(numbers.windows(2).all(|two| two[0] < two[1]), "each number has one writer: {numbers:?}");
     let writers: std::collections::BTreeSet<usize> = pages.iter().map(|(i, _)| *i).collect();
     assert!(writers.len() >= 2 && pages.len() >= 8, "{writers:?}, {numbers:?}");
@@ -183,19 +183,19 @@
 fn an_act_whose_lease_ended_between_decision_and_send_is_neither_sent_nor_stamped() {
     let mut net = Net::new(3, 3);
     net.run(10 * SECOND);
-    let holder = (0..3).find(|&i| net.all[i].acts(net.now, "rebalance").is_some()).unwrap();
+    let holder = (0..3).find(|&i| net.all[i].acting_token(net.now, "rebalance").is_some()).unwrap();
     let member = &mut net.all[holder];
     let decided = net.now + 200_000;
-    member.turn(decided);
-    assert!(member.acts(decided, "rebalance").is_some(), "the decision was made under the lease");
+    member.tick(decided);
+    assert!(member.acting_token(decided, "rebalance").is_some(), "the decision was made under the lease");
 
     let continued = decided + TERMS.span;
     let sent: Vec<_> = std::iter::from_fn(|| member.next_message(continued)).collect();
-    let acts = sent.iter().filter(|(_, bytes)| matches!(Words::read(bytes), Some(Words::Act(_))));
+    let acts = sent.iter().filter(|(_, bytes)| matches!(Message::decode(bytes), Some(Message::Action(_))));
     assert_eq!(acts.count(), 0, "acts that were sent after the lease had ended");
     assert!(!sent.is_empty(), "what needs no lease is sent");
     let stamped: Vec<_> = std::iter::from_fn(|| member.next_event(continued)).collect();
-    let done = |event: &&Event| matches!(event, Event::Act(..) | Event::Page(_));
+    let done = |event: &&Event| matches!(event, Event::Action(..) | Event::AccountPage(_));
     assert_eq!(stamped.iter().find(done), None);
 }
 
@@ -204,13 +204,12 @@
 fn an_act_is_sent_to_each_member_and_stamped_while_its_lease_lasts() {
     let mut net = Net::new(3, 3);
     net.run(10 * SECOND);
-    let holder = (0..3).find(|&i| net.all[i].acts(net.now, "rebalance").is_some()).unwrap();
+    let holder = (0..3).find(|&i| net.all[i].acting_token(net.now, "rebalance").is_some()).unwrap();
     let (member, now) = (&mut net.all[holder], net.now + 200_000);
-    member.turn(now);
-    let is_act =
-        |bytes: &[u8]| matches!(Words::read(bytes), Some(Words::Act(act)) if act.task == "rebalance");
+    member.tick(now);
+    let is_act = |bytes: &[u8]| matches!(Message::decode(bytes), Some(Message::Action(action)) if action.task == "rebalance");
     let sent = std::iter::from_fn(|| member.next_message(now)).filter(|(_, bytes)| is_act(bytes));
     assert_eq!(sent.count(), 2);
-    let own = |event: &Event| matches!(event, Event::Act(act, true) if act.task == "rebalance");
+    let own = |event: &Event| matches!(event, Event::Action(action, true) if action.task == "rebalance");
     assert_eq!(std::iter::from_fn(|| member.next_event(now)).filter(own).count(), 1);
 }
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -12,11 +12,11 @@
 pub mod folder;
 pub mod lease;
 pub mod member;
+pub mod messages;
 pub mod outbox;
 pub mod record;
 pub mod task;
 pub mod voter;
-pub mod words;
 pub mod writer;
 
 use crate::api::Micros;
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -5,7 +5,7 @@
 use super::failpoint::StopBeforeAct;
 use super::folder::Folder;
 use super::lease;
-use super::member::{Duties, Event, Member};
+use super::member::{Event, Member, TaskSettings};
 use super::record;
 use super::voter::Voter;
 use super::writer::Writer;
@@ -179,9 +179,10 @@
         let book = settings.members.iter().filter(|(other, _)| *other != name);
         let book = book.map(|(name, at)| (name.clone(), *at)).collect();
         let peers = Peers::new(me, book, settings.probe_interval, LONGEST - ADDED - HEAD, seed);
-        let (tasks, turn, account) = (settings.tasks, settings.max_hold, settings.account_interval);
-        let duties = Duties { tasks, turn, account };
-        let member = Member::new(clock.now(), peers, &settings.voters, voter, terms, duties);
+        let (tasks, max_hold, account_interval) =
+            (settings.tasks, settings.max_hold, settings.account_interval);
+        let task_settings = TaskSettings { tasks, max_hold, account_interval };
+        let member = Member::new(clock.now(), peers, &settings.voters, voter, terms, task_settings);
         let socket = UdpSocket::bind(settings.listen).await;
         let socket = socket
             .map_err(|e| said(format!("listen {}: {e}; give an address that is free", settings.listen)))?;
@@ -207,7 +208,7 @@
     /// Zones by a plan, made of these zones and classes, the worthiest first.
     pub fn enable_zone_plans(&mut self, terms: &Terms, zones: &[String], classes: Vec<String>) {
         self.tells = Some(terms.tell);
-        self.member.plans(Planner::new(terms.clone(), zones.to_vec(), classes));
+        self.member.set_planner(Planner::new(terms.clone(), zones.to_vec(), classes));
     }
 
     /// Goes on until the program ends.
@@ -223,11 +224,11 @@
                     let now = self.clock.now();
                     match order {
                         Some(OperatorCommand::StepDown) => drop(self.member.step_down()),
-                        Some(OperatorCommand::ReleaseTasks) => self.member.give_up(now),
-                        Some(OperatorCommand::Zone(zone, wish, lasts)) => self.member.order(&zone, wish, lasts),
+                        Some(OperatorCommand::ReleaseTasks) => self.member.release_all_tasks(now),
+                        Some(OperatorCommand::Zone(zone, wish, lasts)) => self.member.order_zone(&zone, wish, lasts),
                         Some(OperatorCommand::LeaveGroup) => {
                             self.member.leave(now);
-                            self.send();
+                            self.send_messages();
                             self.tell(&broker);
                             return;
                         }
@@ -244,7 +245,7 @@
                             Err(_) => continue,
                         };
                         match self.seal.open(&buffer[..n]) {
-                            Some(words) => self.member.read(self.clock.now(), words),
+                            Some(words) => self.member.receive(self.clock.now(), words),
                             None => {
                                 unsealed += 1;
                                 if unsealed.is_power_of_two() {
@@ -263,32 +264,32 @@
                 tracing::warn!(since_last_turn_us, "group: a turn came late");
             }
             turned = now;
-            self.member.drains(now, !operations.ready());
+            self.member.set_draining(now, !operations.ready());
             if now >= counted + REPORT {
                 counted = now;
                 let rows = broker.contracts(|contracts| contracts.rows(broker.now())).unwrap_or_default();
-                self.member.count(now, &rows);
+                self.member.report_usage(now, &rows);
             }
             if let Some(digest) = self.tells.filter(|every| now >= told + every).and_then(|_| broker.digest())
             {
                 told = now;
-                self.member.see(now, digest);
+                self.member.report_digest(now, digest);
             }
-            self.member.turn(now);
+            self.member.tick(now);
             #[cfg(feature = "failpoints")]
-            if self.member.has_undone_acts() {
+            if self.member.has_pending_actions() {
                 self.stop_before_act.reached();
             }
-            self.send();
+            self.send_messages();
             self.tell(&broker);
             if self.tells.is_some() {
                 broker.follow(self.member.record().plan.as_ref());
             }
             if now >= shown + SHOWN {
                 shown = now;
-                *self.board.text.borrow_mut() = self.member.show(now);
+                *self.board.text.borrow_mut() = self.member.status_text(now);
                 if self.tells.is_some() {
-                    *self.board.zones.borrow_mut() = self.member.show_zones(now);
+                    *self.board.zones.borrow_mut() = self.member.zone_status_text(now);
                 }
             }
             // Else it would go on for as long as datagrams come, up to the runtime's own bound, before a client is looked at.
@@ -296,7 +297,7 @@
         }
     }
 
-    fn send(&mut self) {
+    fn send_messages(&mut self) {
         while let Some((to, words)) = self.member.next_message(self.clock.now()) {
             if let Some(datagram) = self.seal.seal(&words) {
                 // What finds no room is lost like any other datagram.
@@ -328,30 +329,32 @@
 /// Logs an event; `us` is the reading of the clock by which it was allowed, in microseconds.
 fn log_event(event: Event, us: Micros) {
     match event {
-        Event::Peer(peers::Note::Up(name)) => tracing::info!("group: {name} is there"),
-        Event::Peer(peers::Note::Down(name)) => tracing::info!("group: {name} is gone"),
-        Event::Taken(task, token) => tracing::info!(us, "group: {task} is ours under token {token}"),
-        Event::Let(task, token) => tracing::info!(us, "group: {task} is no longer ours under token {token}"),
-        Event::Act(act, passes) => {
-            let (task, token, holder) = (act.task, act.token, act.holder);
+        Event::PeerChanged(peers::Note::Up(name)) => tracing::info!("group: {name} is there"),
+        Event::PeerChanged(peers::Note::Down(name)) => tracing::info!("group: {name} is gone"),
+        Event::LeaseAcquired(task, token) => tracing::info!(us, "group: {task} is ours under token {token}"),
+        Event::LeaseEnded(task, token) => {
+            tracing::info!(us, "group: {task} is no longer ours under token {token}")
+        }
+        Event::Action(action, passes) => {
+            let (task, token, holder) = (action.task, action.token, action.holder);
             tracing::debug!(target: "oakdeal::act", task, holder, token, us, passes, "act");
             if !passes {
                 tracing::warn!("group: an act of {holder} on {task} came late, under token {token}: refused");
             }
         }
-        Event::Silenced(e) => tracing::error!("group: votes no more: {e}"),
-        Event::Seen(digest) => {
+        Event::VotingStopped(e) => tracing::error!("group: votes no more: {e}"),
+        Event::DigestReceived(digest) => {
             let digest = serde_json::to_string(&digest).unwrap_or_default();
             tracing::debug!(target: EVIDENCE_TARGET, us, digest, "seen");
         }
-        Event::Planned(plan) => {
+        Event::PlanProposed(plan) => {
             for (name, zone) in &plan.zones {
                 let (state, why, serial) = (zone.state.name(), &zone.why, plan.serial);
                 tracing::info!(serial, zone = name, state, why, "zones: planned");
             }
         }
-        Event::Page(page) => {
-            let (number, token, missing) = (page.page, page.token, page.missing.join(" "));
+        Event::AccountPage(page) => {
+            let (number, token, missing) = (page.number, page.token, page.missing.join(" "));
             page.rows.iter().for_each(|(name, started, row)| logging::account(name, *started, row));
             let rows = page.rows.len();
             tracing::info!(target: "oakdeal::page", page = number, token, rows, missing, us, "page of the account");
