--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -5,11 +5,11 @@
 use super::failpoint::StopBeforeAct;
 use super::folder::VoterFolder;
 use super::lease;
-use super::member::{Duties, Event, Member};
+use super::member::{Event, Member, TaskSettings};
 use super::record;
 use super::voter::Voter;
 use super::writer::Writer;
-use super::{Settings, REBALANCE};
+use super::{Settings, REBALANCE_TASK};
 use crate::api::Micros;
 use crate::broker::operations::Operations;
 use crate::broker::Broker;
@@ -35,7 +35,7 @@
 /// What stands before the membership's own words in a datagram, at most.
 const HEAD: usize = 2 + record::MAX_NAME_BYTES + 8;
 /// The target of what the maker of plans was told; `oakdeal zones plan` reads it.
-pub const EVIDENCE: &str = "oakdeal::evidence";
+pub const EVIDENCE_TARGET: &str = "oakdeal::evidence";
 /// Between two reports for the fleet's account, in microseconds.
 const REPORT: Micros = 1_000_000;
 /// A turn that comes later than it was due by so much is logged, in microseconds.
@@ -47,39 +47,39 @@
 
 /// What an operator may order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum OperatorCommand {
     /// Something of a zone for so many milliseconds, or nothing any more.
     Zone(String, Option<OrderKind>, u64),
     /// Another voter is to lead.
     StepDown,
     /// All tasks held here are to be given back.
-    GiveUp,
+    ReleaseTasks,
     /// The program ends.
-    Leave,
+    LeaveGroup,
 }
 
 /// What the group shows, and where it takes orders.
-pub struct Board {
+pub struct StatusBoard {
     text: RefCell<String>,
     zones: RefCell<String>,
-    orders: UnboundedSender<Order>,
+    orders: UnboundedSender<OperatorCommand>,
 }
 
-impl Board {
+impl StatusBoard {
     /// What is to be seen, a line each.
-    pub fn text(&self) -> String {
+    pub fn status(&self) -> String {
         self.text.borrow().clone()
     }
 
     /// The zones by the fleet's plan, a line each; none where no plan is made.
-    pub fn zones(&self) -> Option<String> {
+    pub fn zone_status(&self) -> Option<String> {
         Some(self.zones.borrow().clone()).filter(|text| !text.is_empty())
     }
 
     /// Gives an order.
-    pub fn order(&self, order: Order) {
+    pub fn send(&self, command: OperatorCommand) {
         // Cannot fail while the program runs: the group's task holds the other end.
-        let _ = self.orders.send(order);
+        let _ = self.orders.send(command);
     }
 }
 
@@ -127,8 +127,8 @@
     socket: UdpSocket,
     seal: Seal,
     clock: Clock,
-    orders: UnboundedReceiver<Order>,
-    board: Rc<Board>,
+    orders: UnboundedReceiver<OperatorCommand>,
+    board: Rc<StatusBoard>,
     #[cfg(feature = "failpoints")]
     stop_before_act: StopBeforeAct,
     /// How often it tells what it sees of the zones, where the fleet has a plan for them.
@@ -142,12 +142,12 @@
         name: &str,
         started: u64,
         seed: u64,
-    ) -> Result<(Group, Rc<Board>), String> {
+    ) -> Result<(Group, Rc<StatusBoard>), String> {
         let name = settings.name.as_deref().unwrap_or(name);
         let said = |what: String| format!("[group]: {what}");
         let seal = Seal::read(&settings.key).map_err(said)?;
         let clock = Clock::new();
-        let terms = lease::LeaseTerms { duration: settings.span, drift_ppm: settings.drift };
+        let terms = lease::LeaseTerms { duration: settings.lease_span, drift_ppm: settings.drift };
         let mut voter = None;
         let kept_notify = Arc::new(Notify::new());
         if settings.voters.iter().any(|voter| voter == name) {
@@ -173,20 +173,21 @@
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             version: env!("CARGO_PKG_VERSION").into(),
-            settings: settings.print,
+            settings: settings.fingerprint,
             drains: false,
         };
         let book = settings.members.iter().filter(|(other, _)| *other != name);
         let book = book.map(|(name, at)| (name.clone(), *at)).collect();
-        let peers = Peers::new(me, book, settings.probe, LONGEST - ADDED - HEAD, seed);
-        let (tasks, turn, account) = (settings.tasks, settings.turn, settings.account);
-        let duties = Duties { tasks, turn, account };
-        let member = Member::new(clock.now(), peers, &settings.voters, voter, terms, duties);
+        let peers = Peers::new(me, book, settings.probe_interval, LONGEST - ADDED - HEAD, seed);
+        let (tasks, max_hold, account_interval) =
+            (settings.tasks, settings.max_hold, settings.account_interval);
+        let task_settings = TaskSettings { tasks, max_hold, account_interval };
+        let member = Member::new(clock.now(), peers, &settings.voters, voter, terms, task_settings);
         let socket = UdpSocket::bind(settings.listen).await;
         let socket = socket
             .map_err(|e| said(format!("listen {}: {e}; give an address that is free", settings.listen)))?;
         let (orders, heard) = unbounded_channel();
-        let board = Rc::new(Board { text: RefCell::default(), zones: RefCell::default(), orders });
+        let board = Rc::new(StatusBoard { text: RefCell::default(), zones: RefCell::default(), orders });
         tracing::info!("{name} is in the group at {}", settings.listen);
         let kept = kept_notify;
         let group = Group {
@@ -205,9 +206,9 @@
     }
 
     /// Zones by a plan, made of these zones and classes, the worthiest first.
-    pub fn plans(&mut self, terms: &FailoverSettings, zones: &[String], classes: Vec<String>) {
+    pub fn enable_zone_plans(&mut self, terms: &FailoverSettings, zones: &[String], classes: Vec<String>) {
         self.tells = Some(terms.digest_interval);
-        self.member.plans(Planner::new(terms.clone(), zones.to_vec(), classes));
+        self.member.set_planner(Planner::new(terms.clone(), zones.to_vec(), classes));
     }
 
     /// Goes on until the program ends.
@@ -222,12 +223,12 @@
                 order = self.orders.recv() => {
                     let now = self.clock.now();
                     match order {
-                        Some(Order::StepDown) => drop(self.member.step_down()),
-                        Some(Order::GiveUp) => self.member.give_up(now),
-                        Some(Order::Zone(zone, wish, lasts)) => self.member.order(&zone, wish, lasts),
-                        Some(Order::Leave) => {
+                        Some(OperatorCommand::StepDown) => drop(self.member.step_down()),
+                        Some(OperatorCommand::ReleaseTasks) => self.member.release_all_tasks(now),
+                        Some(OperatorCommand::Zone(zone, wish, lasts)) => self.member.order_zone(&zone, wish, lasts),
+                        Some(OperatorCommand::LeaveGroup) => {
                             self.member.leave(now);
-                            self.send();
+                            self.send_messages();
                             self.tell(&broker);
                             return;
                         }
@@ -244,7 +245,7 @@
                             Err(_) => continue,
                         };
                         match self.seal.open(&buffer[..n]) {
-                            Some(words) => self.member.read(self.clock.now(), words),
+                            Some(words) => self.member.receive(self.clock.now(), words),
                             None => {
                                 unsealed += 1;
                                 if unsealed.is_power_of_two() {
@@ -263,32 +264,32 @@
                 tracing::warn!(since_last_turn_us, "group: a turn came late");
             }
             turned = now;
-            self.member.drains(now, !operations.ready());
+            self.member.set_draining(now, !operations.ready());
             if now >= counted + REPORT {
                 counted = now;
                 let rows = broker.contracts(|contracts| contracts.rows(broker.now())).unwrap_or_default();
-                self.member.count(now, &rows);
+                self.member.report_usage(now, &rows);
             }
             if let Some(digest) = self.tells.filter(|every| now >= told + every).and_then(|_| broker.digest())
             {
                 told = now;
-                self.member.see(now, digest);
+                self.member.report_digest(now, digest);
             }
-            self.member.turn(now);
+            self.member.tick(now);
             #[cfg(feature = "failpoints")]
-            if self.member.has_undone_acts() {
+            if self.member.has_pending_actions() {
                 self.stop_before_act.reached();
             }
-            self.send();
+            self.send_messages();
             self.tell(&broker);
             if self.tells.is_some() {
                 broker.follow(self.member.record().plan.as_ref());
             }
             if now >= shown + SHOWN {
                 shown = now;
-                *self.board.text.borrow_mut() = self.member.show(now);
+                *self.board.text.borrow_mut() = self.member.status_text(now);
                 if self.tells.is_some() {
-                    *self.board.zones.borrow_mut() = self.member.show_zones(now);
+                    *self.board.zones.borrow_mut() = self.member.zone_status_text(now);
                 }
             }
             // Else it would go on for as long as datagrams come, up to the runtime's own bound, before a client is looked at.
@@ -296,7 +297,7 @@
         }
     }
 
-    fn send(&mut self) {
+    fn send_messages(&mut self) {
         while let Some((to, words)) = self.member.next_message(self.clock.now()) {
             if let Some(datagram) = self.seal.seal(&words) {
                 // What finds no room is lost like any other datagram.
@@ -320,7 +321,7 @@
     /// the two readings shortens the time and never lengthens it.
     fn extend_rebalancing(&self, broker: &Broker) {
         let broker_now = broker.now();
-        let left = self.member.lease_left(self.clock.now(), REBALANCE);
+        let left = self.member.lease_left(self.clock.now(), REBALANCE_TASK);
         broker.may_rebalance_until(broker_now.saturating_add(left));
     }
 }
@@ -328,30 +329,32 @@
 /// Logs an event; `us` is the reading of the clock by which it was allowed, in microseconds.
 fn log_event(event: Event, us: Micros) {
     match event {
-        Event::Peer(peers::Note::Up(name)) => tracing::info!("group: {name} is there"),
-        Event::Peer(peers::Note::Down(name)) => tracing::info!("group: {name} is gone"),
-        Event::Taken(task, token) => tracing::info!(us, "group: {task} is ours under token {token}"),
-        Event::Let(task, token) => tracing::info!(us, "group: {task} is no longer ours under token {token}"),
-        Event::Act(act, passes) => {
-            let (task, token, holder) = (act.task, act.token, act.holder);
+        Event::PeerChanged(peers::Note::Up(name)) => tracing::info!("group: {name} is there"),
+        Event::PeerChanged(peers::Note::Down(name)) => tracing::info!("group: {name} is gone"),
+        Event::LeaseAcquired(task, token) => tracing::info!(us, "group: {task} is ours under token {token}"),
+        Event::LeaseEnded(task, token) => {
+            tracing::info!(us, "group: {task} is no longer ours under token {token}")
+        }
+        Event::Action(action, passes) => {
+            let (task, token, holder) = (action.task, action.token, action.holder);
             tracing::debug!(target: "oakdeal::act", task, holder, token, us, passes, "act");
             if !passes {
                 tracing::warn!("group: an act of {holder} on {task} came late, under token {token}: refused");
             }
         }
-        Event::Silenced(e) => tracing::error!("group: votes no more: {e}"),
-        Event::Seen(digest) => {
+        Event::VotingStopped(e) => tracing::error!("group: votes no more: {e}"),
+        Event::DigestReceived(digest) => {
             let digest = serde_json::to_string(&digest).unwrap_or_default();
-            tracing::debug!(target: EVIDENCE, us, digest, "seen");
+            tracing::debug!(target: EVIDENCE_TARGET, us, digest, "seen");
         }
-        Event::Planned(plan) => {
+        Event::PlanProposed(plan) => {
             for (name, zone) in &plan.zones {
                 let (state, why, serial) = (zone.state.name(), &zone.reason, plan.serial);
                 tracing::info!(serial, zone = name, state, why, "zones: planned");
             }
         }
-        Event::Page(page) => {
-            let (number, token, missing) = (page.page, page.token, page.missing.join(" "));
+        Event::AccountPage(page) => {
+            let (number, token, missing) = (page.number, page.token, page.missing.join(" "));
             page.rows.iter().for_each(|(name, started, row)| logging::account(name, *started, row));
             let rows = page.rows.len();
             tracing::info!(target: "oakdeal::page", page = number, token, rows, missing, us, "page of the account");
--- a/src/group/writer.rs
+++ b/src/group/writer.rs
@@ -20,7 +20,7 @@
 
 impl Write {
     /// What is to be written, owned.
-    pub fn of(save: &StorageUpdate) -> Write {
+    pub fn from_save(save: &StorageUpdate) -> Write {
         let StorageUpdate { entries, hard_state, snapshot, reset_log } = *save;
         Write {
             entries: entries.to_vec(),
@@ -31,7 +31,7 @@
     }
 
     /// For the storage.
-    pub fn save(&self) -> StorageUpdate<'_> {
+    pub fn as_save(&self) -> StorageUpdate<'_> {
         let Write { entries, hard_state, snapshot, reset_log } = self;
         StorageUpdate {
             entries,
@@ -70,7 +70,7 @@
 ) {
     while let Ok(first) = writes.recv() {
         let batch: Vec<Write> = std::iter::once(first).chain(writes.try_iter()).collect();
-        let saves: Vec<StorageUpdate> = batch.iter().map(Write::save).collect();
+        let saves: Vec<StorageUpdate> = batch.iter().map(Write::as_save).collect();
         let result = storage.save_all(&saves);
         let failed = result.is_err();
         let voter_is_gone = results.send(result.map(|()| batch.len() as u64)).is_err();
@@ -84,7 +84,7 @@
 impl VoterStorage for Writer {
     fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
         // Where the thread has ended after a failure the reason is told by `kept`.
-        let _ = self.writes.send(Write::of(&save));
+        let _ = self.writes.send(Write::from_save(&save));
         Ok(())
     }
 
