--- a/benches/contracts.rs
+++ b/benches/contracts.rs
@@ -4,7 +4,7 @@
 //! that every order of the room has entries. A refusal is measured with the room full and a borrower asking.
 
 use divan::{black_box, Bencher};
-use oakdeal::contracts::{Contract, Contracts, End, Frame, Terms};
+use oakdeal::contracts::{Contract, Contracts, EndReason, FixedSettings, Terms};
 use oakdeal::CallId;
 
 const TEAMS: [usize; 3] = [3, 100, 10_000];
@@ -15,11 +15,11 @@
     divan::main();
 }
 
-fn frame() -> Frame {
-    Frame {
+fn frame() -> FixedSettings {
+    FixedSettings {
         classes: vec![("watch".into(), 5.0), ("payout".into(), 15.0)],
         balancers: 1,
-        longest: Some(2_000_000),
+        max_retry_after: Some(2_000_000),
     }
 }
 
@@ -34,10 +34,10 @@
     let mut all = Contracts::new(0, frame(), terms);
     let call: CallId = "a-connection".into();
     for name in 0..teams {
-        let team = all.team(Some(&format!("team-{name}")), 0);
+        let team = all.resolve_team(Some(&format!("team-{name}")), 0);
         for _ in 0..held {
-            let ticket = all.ask(1, team, 0, &call).expect("within the contract");
-            all.stands(&ticket);
+            let ticket = all.request_admission(1, team, 0, &call).expect("within the contract");
+            all.mark_established(&ticket);
         }
     }
     (all, call)
@@ -49,10 +49,11 @@
     let mut now = 10;
     bencher.bench_local(|| {
         now += 1;
-        let ticket =
-            all.ask(now, 1 + now as usize % teams, 0, black_box(&call)).expect("within the contract");
-        all.stands(&ticket);
-        all.over(now, ticket, End::Ended);
+        let ticket = all
+            .request_admission(now, 1 + now as usize % teams, 0, black_box(&call))
+            .expect("within the contract");
+        all.mark_established(&ticket);
+        all.release(now, ticket, EndReason::Closed);
     });
 }
 
@@ -62,14 +63,15 @@
     let mut now = 10;
     bencher.bench_local(|| {
         now += 1;
-        all.ask(now, 1 + now as usize % teams, 0, black_box(&call)).expect_err("the room is full")
+        all.request_admission(now, 1 + now as usize % teams, 0, black_box(&call))
+            .expect_err("the room is full")
     });
 }
 
 #[divan::bench(args = TEAMS)]
 fn a_turn_in_which_nothing_is_due(bencher: Bencher, teams: usize) {
     let (mut all, _) = contracts(teams, 20);
-    bencher.bench_local(|| (black_box(all.turn(10)), all.due(10)));
+    bencher.bench_local(|| (black_box(all.run_due(10)), all.next_due(10)));
 }
 
 #[divan::bench(args = TEAMS)]
@@ -78,6 +80,6 @@
     let mut now = 10;
     bencher.bench_local(|| {
         now += 1;
-        all.listed(now, (0..10 + now as u32 % 2).map(|host| (host, 1.0, 0)));
+        all.set_ready_instances(now, (0..10 + now as u32 % 2).map(|host| (host, 1.0, 0)));
     });
 }
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -11,7 +11,7 @@
 use super::zones::{Known, Place, Zones};
 use crate::api::*;
 use crate::contracts::ledger::Reason;
-use crate::contracts::{Change, Contract, Contracts, End, Frame, Terms, Ticket};
+use crate::contracts::{Contract, Contracts, EndReason, FixedSettings, Terms, TermsChange, Ticket};
 use crate::failover::evidence::Digest;
 use crate::failover::plan::Plan;
 use crate::rebalance::{self, Note, Rebalance, View};
@@ -92,7 +92,7 @@
     rebalance: Option<Rebalance>,
     /// Until when this balancer may rebalance: in a group, for as long as its lease lasts; for ever without one.
     rebalance_until: RebalanceUntil,
-    frame: Frame,
+    frame: FixedSettings,
     /// The platform's own tenants, by name; the teams come behind them, by their number.
     projects: Vec<String>,
     tenants: Vec<Tenant>,
@@ -111,10 +111,10 @@
     pub fn new(settings: Settings, names: &Names, seed: u64) -> Result<Core, SettingsError> {
         let worths = settings.classes.iter().map(|c| c.worth);
         Ok(Core {
-            frame: Frame {
+            frame: FixedSettings {
                 classes: names.classes().iter().cloned().zip(worths).collect(),
                 balancers: settings.peers_total,
-                longest: settings.limits.retry_after,
+                max_retry_after: settings.limits.retry_after,
             },
             projects: names.tenants().to_vec(),
             tenants: settings.tenants.clone(),
@@ -134,11 +134,11 @@
         demand.tenant = team.and_then(|name| self.projects.iter().position(|p| p == name));
         let mut ticket = None;
         if let Some(contracts) = &mut self.contracts {
-            let id = contracts.team(team, demand.class);
+            let id = contracts.resolve_team(team, demand.class);
             demand.tenant = Some(self.projects.len() + id);
-            match contracts.ask(now, id, demand.class, &demand.call) {
+            match contracts.request_admission(now, id, demand.class, &demand.call) {
                 Ok(taken) => ticket = Some(taken),
-                Err(no) => return Err(Refused { after: no.after, reason: no.reason }),
+                Err(no) => return Err(Refused { after: no.retry_after, reason: no.reason }),
             }
         }
         if let Some(most) = demand.tenant.and_then(|t| self.tenants.get(t)).and_then(|t| t.deadline) {
@@ -150,7 +150,7 @@
                 Ok(chosen) => demand.zones = chosen,
                 Err(after) => {
                     if let Some((ticket, contracts)) = book.ticket.zip(self.contracts.as_mut()) {
-                        contracts.over(now, ticket, End::TurnedAway);
+                        contracts.release(now, ticket, EndReason::NoInstance);
                     }
                     return Err(Refused { after, reason: Reason::Placement });
                 }
@@ -162,7 +162,7 @@
 
     /// One that was let in is not begun after all.
     pub fn withdraw(&mut self, now: Micros, call: &CallId) {
-        self.release(now, call, End::Lost);
+        self.release(now, call, EndReason::NotEstablished);
     }
 
     /// Takes in a connection that stands already.
@@ -176,7 +176,7 @@
         demand.tenant = team.and_then(|name| self.projects.iter().position(|p| p == name));
         let projects = self.projects.len();
         let ticket = self.contracts.as_mut().map(|contracts| {
-            let id = contracts.team(team, demand.class);
+            let id = contracts.resolve_team(team, demand.class);
             demand.tenant = Some(projects + id);
             contracts.adopt(now, id, demand.class, &demand.call)
         });
@@ -250,7 +250,7 @@
                         book.slot.iter_mut().for_each(|slot| zones.establish(slot));
                     }
                     if let Some((ticket, contracts)) = book.ticket.as_ref().zip(self.contracts.as_mut()) {
-                        contracts.stands(ticket);
+                        contracts.mark_established(ticket);
                     }
                 }
             }
@@ -269,14 +269,18 @@
                     self.seen(now, *host, false);
                 }
                 if *ended {
-                    self.release(now, call, if stands { End::Ended } else { End::Lost });
+                    self.release(
+                        now,
+                        call,
+                        if stands { EndReason::Closed } else { EndReason::NotEstablished },
+                    );
                 } else {
                     self.vacate(call);
                 }
             }
             Event::Vanished { call } => {
                 let stands = self.books.get(call).is_some_and(|book| book.stands);
-                self.release(now, call, if stands { End::Ended } else { End::Lost });
+                self.release(now, call, if stands { EndReason::Closed } else { EndReason::NotEstablished });
             }
             Event::Probed { host, outcome, .. } => {
                 if let Some(zones) = &mut self.zones {
@@ -322,8 +326,8 @@
         }
         match action {
             Action::Send { call, host, .. } => self.occupy(call, *host),
-            Action::Refuse { call, .. } => self.release(now, call, End::TurnedAway),
-            Action::Fail { call } => self.release(now, call, End::Lost),
+            Action::Refuse { call, .. } => self.release(now, call, EndReason::NoInstance),
+            Action::Fail { call } => self.release(now, call, EndReason::NotEstablished),
             _ => {}
         }
     }
@@ -340,11 +344,11 @@
         book.slot.take().into_iter().for_each(|slot| zones.release(slot));
     }
 
-    fn release(&mut self, now: Micros, call: &CallId, end: End) {
+    fn release(&mut self, now: Micros, call: &CallId, end: EndReason) {
         self.vacate(call);
         let ticket = self.books.remove(call).and_then(|book| book.ticket);
         if let Some((ticket, contracts)) = ticket.zip(self.contracts.as_mut()) {
-            contracts.over(now, ticket, end);
+            contracts.release(now, ticket, end);
         }
     }
 
@@ -360,20 +364,21 @@
             };
         }
         if let Some(contracts) = &mut self.contracts {
-            contracts.listed(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
+            contracts
+                .set_ready_instances(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
         }
     }
 
     /// An attempt that nobody answers, or one that is served, tells whether its instance is there.
     fn seen(&mut self, now: Micros, host: HostId, served: bool) {
         if let Some(contracts) = &mut self.contracts {
-            contracts.seen(now, host, served);
+            contracts.record_attempt(now, host, served);
         }
     }
 
     /// When [`Core::turn`] is to be called next, if nothing happens before.
     pub fn due(&mut self, now: Micros) -> Option<Micros> {
-        let contracts = self.contracts.as_mut().and_then(|contracts| contracts.due(now));
+        let contracts = self.contracts.as_mut().and_then(|contracts| contracts.next_due(now));
         let rebalance = self.rebalance.as_ref().filter(|_| self.rebalance_until.allows(now));
         contracts.into_iter().chain(rebalance.map(|r| r.due(now))).min()
     }
@@ -381,7 +386,7 @@
     /// Does what is due without an event.
     pub fn turn(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if let Some(contracts) = &mut self.contracts {
-            actions.extend(contracts.turn(now).into_iter().map(|call| Action::Move { call }));
+            actions.extend(contracts.run_due(now).into_iter().map(|call| Action::Move { call }));
         }
         // One cause of moves at a time: what contracts want comes first.
         if let Some(rebalance) = self.rebalance.as_mut().filter(|_| self.rebalance_until.allows(now)) {
@@ -399,7 +404,7 @@
         if self.rebalance.as_ref().map(Rebalance::terms) == terms.as_ref() {
             return;
         }
-        let Frame { classes, balancers, .. } = &self.frame;
+        let FixedSettings { classes, balancers, .. } = &self.frame;
         self.rebalance = terms.map(|terms| Rebalance::new(now, terms, classes, *balancers));
         if let Some(rebalance) = &mut self.rebalance {
             // How long they have stood is not known: as if since now.
@@ -447,19 +452,20 @@
     }
 
     /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
-    pub fn contract(&mut self, now: Micros, terms: Option<Terms>) -> Vec<Change> {
+    pub fn contract(&mut self, now: Micros, terms: Option<Terms>) -> Vec<TermsChange> {
         let changes = match (&mut self.contracts, terms) {
-            (Some(contracts), Some(terms)) => contracts.change(now, terms),
+            (Some(contracts), Some(terms)) => contracts.apply_terms(now, terms),
             (None, Some(terms)) => {
                 let mut contracts = Contracts::new(now, self.frame.clone(), Terms::default());
-                contracts.listed(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
-                let changes = contracts.change(now, terms);
+                contracts
+                    .set_ready_instances(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
+                let changes = contracts.apply_terms(now, terms);
                 // What is in hand counts from now on; where it was asked for is past.
                 for (call, book) in &mut self.books {
-                    let team = contracts.team(book.team.as_deref(), book.class);
-                    let ticket = contracts.take_over(now, team, book.class, call);
+                    let team = contracts.resolve_team(book.team.as_deref(), book.class);
+                    let ticket = contracts.count_existing(now, team, book.class, call);
                     if book.stands {
-                        contracts.stands(&ticket);
+                        contracts.mark_established(&ticket);
                     }
                     book.ticket = Some(ticket);
                 }
@@ -467,7 +473,7 @@
                 changes
             }
             (Some(contracts), None) => {
-                let changes = contracts.change(now, Terms::default());
+                let changes = contracts.apply_terms(now, Terms::default());
                 self.contracts = None;
                 self.books.values_mut().for_each(|book| book.ticket = None);
                 changes
@@ -475,7 +481,7 @@
             (None, None) => return Vec::new(),
         };
         self.tenants.truncate(self.projects.len());
-        let teams = self.contracts.iter().flat_map(Contracts::teams);
+        let teams = self.contracts.iter().flat_map(Contracts::team_contracts);
         self.tenants.extend(teams.map(|c| tenant(c, self.frame.balancers)));
         let mut actions = Vec::new();
         self.brain.handle(now, Event::Tenants(self.tenants.clone()), &mut actions);
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -18,7 +18,7 @@
 pub mod zones;
 
 use crate::api::*;
-use crate::contracts::{Change, Contracts, Terms};
+use crate::contracts::{Contracts, Terms, TermsChange};
 use crate::failover::evidence::Digest;
 use crate::failover::plan::Plan;
 use crate::rebalance::Note;
@@ -393,7 +393,7 @@
     }
 
     /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
-    pub fn contract(&self, terms: Option<Terms>) -> Vec<Change> {
+    pub fn contract(&self, terms: Option<Terms>) -> Vec<TermsChange> {
         let state = &mut *self.state.borrow_mut();
         let changes = state.core.contract(self.now(), terms);
         self.look(state);
--- a/src/cli/contracts.rs
+++ b/src/cli/contracts.rs
@@ -36,7 +36,7 @@
         "classes",
     ]);
     for c in &terms.contracts {
-        let figures = c.figures();
+        let figures = c.values_by_key();
         let figure = |key: &str| figures.get(key).cloned().unwrap_or_else(|| "-".into());
         let each = (c.connections * cut / f64::from(balancers) - 1e-9).ceil();
         all.add_row([
--- a/src/contracts/admission.rs
+++ b/src/contracts/admission.rs
@@ -83,7 +83,7 @@
 
 /// The room and all shares in it.
 #[derive(Debug, Default)]
-pub struct Room {
+pub struct SharePool {
     capacity: u64,
     shares: Vec<Share>,
     held: u64,
@@ -97,10 +97,10 @@
     forced: BTreeSet<TeamId>,
 }
 
-impl Room {
+impl SharePool {
     /// An empty one.
-    pub fn new() -> Room {
-        Room { capacity: UNBOUNDED, ..Room::default() }
+    pub fn new() -> SharePool {
+        SharePool { capacity: UNBOUNDED, ..SharePool::default() }
     }
 
     /// One more team; its number.
--- a/src/contracts/bucket.rs
+++ b/src/contracts/bucket.rs
@@ -93,15 +93,16 @@
     }
 
     /// Connections that it pays for without end here.
-    pub fn sustains(&self) -> f64 {
-        self.budget.sustains() * self.part
+    pub fn sustained_connections(&self) -> f64 {
+        self.budget.sustained_connections() * self.part
     }
 
     /// Time passes while so many connections draw on it.
     pub fn flow(&mut self, now: Micros, drawn: u32) {
         let span = now.saturating_sub(self.at) as f64;
         self.at = self.at.max(now);
-        self.level = (self.level + (self.sustains() - f64::from(drawn)) * span).clamp(0.0, self.most());
+        self.level =
+            (self.level + (self.sustained_connections() - f64::from(drawn)) * span).clamp(0.0, self.most());
         // Within a microsecond of one connection it is empty: its end was computed in whole microseconds.
         if self.level < 1.0 {
             self.empty = true;
@@ -122,7 +123,7 @@
 
     /// When it will be used up, or enough of it back, if so many go on drawing.
     pub fn turns(&self, drawn: u32) -> Option<Micros> {
-        let pace = self.sustains() - f64::from(drawn);
+        let pace = self.sustained_connections() - f64::from(drawn);
         let span = match self.empty {
             true if pace > 0.0 => (self.most() * BACK - self.level).max(0.0) / pace,
             false if pace < 0.0 => self.level / -pace,
@@ -133,6 +134,6 @@
 
     /// How long until it is whole again if nobody draws on it.
     pub fn whole_in(&self) -> Micros {
-        ((self.most() - self.level) / self.sustains()).ceil() as Micros
+        ((self.most() - self.level) / self.sustained_connections()).ceil() as Micros
     }
 }
--- a/src/contracts/contract.rs
+++ b/src/contracts/contract.rs
@@ -16,13 +16,13 @@
     /// Connection seconds.
     pub seconds: f64,
     /// The span.
-    pub per: Micros,
+    pub period: Micros,
 }
 
 impl Budget {
     /// How many connections it pays for without end.
-    pub fn sustains(&self) -> f64 {
-        self.seconds * 1e6 / self.per as f64
+    pub fn sustained_connections(&self) -> f64 {
+        self.seconds * 1e6 / self.period as f64
     }
 }
 
@@ -78,7 +78,7 @@
     }
 
     /// Each figure as text, by its key: what a change is told in.
-    pub fn figures(&self) -> BTreeMap<&'static str, String> {
+    pub fn values_by_key(&self) -> BTreeMap<&'static str, String> {
         let span = |us: Micros| humantime::format_duration(std::time::Duration::from_micros(us)).to_string();
         let mut all = BTreeMap::from([
             ("connections", self.connections.to_string()),
@@ -89,7 +89,7 @@
         add("classes", self.classes.as_ref().map(|c| c.join(",")));
         add("rate", self.rate.map(|r| r.per_second.to_string()));
         add("burst", self.rate.map(|r| r.burst.to_string()));
-        add("budget", self.budget.map(|b| format!("{}s per {}", b.seconds, span(b.per))));
+        add("budget", self.budget.map(|b| format!("{}s per {}", b.seconds, span(b.period))));
         add("deadline", self.deadline.map(span));
         add("attempts", self.attempts.map(|n| n.to_string()));
         add("retry", self.retry.map(|r| format!("{} and {} per {}", r.free, r.share, span(r.span))));
@@ -107,12 +107,12 @@
     /// For how many ready instances that was stated; none: for the most that were ready at a time.
     pub instances: Option<u32>,
     /// Connections that may be asked to move in a second; none: a quarter of the capacity, ten at least.
-    pub reclaim: Option<f64>,
+    pub reclaim_rate: Option<f64>,
 }
 
 /// Why terms were refused: where, and what to do instead.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct TermsError {
     /// Which contract, by its place; none where it is about no single one.
     pub contract: Option<usize>,
     /// The key.
@@ -122,10 +122,10 @@
 }
 
 /// Refuses figures that nobody can mean or that contradict each other; the first one found.
-pub fn validate(terms: &Terms) -> Result<(), Wrong> {
+pub fn validate(terms: &Terms) -> Result<(), TermsError> {
     let whole = |key, ok: bool, text: String| match ok {
         true => Ok(()),
-        false => Err(Wrong { contract: None, key, text }),
+        false => Err(TermsError { contract: None, key, text }),
     };
     if let Some(c) = terms.capacity {
         whole("connections", c.is_finite() && c >= 1.0, format!("must be 1 or more, not {c}"))?;
@@ -135,14 +135,14 @@
         let text = "says for how many instances `connections` was stated: state `connections` too";
         whole("instances", terms.capacity.is_some(), text.into())?;
     }
-    if let Some(r) = terms.reclaim {
+    if let Some(r) = terms.reclaim_rate {
         let text = format!("must be more than 0 moves a second, not {r}");
         whole("rate", r.is_finite() && r > 0.0, text)?;
     }
     let mut seen = BTreeMap::new();
     for (i, contract) in terms.contracts.iter().enumerate() {
-        let wrong = |key, text: String| Err(Wrong { contract: Some(i), key, text });
-        if let Some((key, text)) = fault(contract) {
+        let wrong = |key, text: String| Err(TermsError { contract: Some(i), key, text });
+        if let Some((key, text)) = contract_error(contract) {
             return wrong(key, text);
         }
         if let Some(first) = seen.insert(contract.team.clone(), i) {
@@ -154,7 +154,7 @@
     Ok(())
 }
 
-fn fault(c: &Contract) -> Option<(&'static str, String)> {
+fn contract_error(c: &Contract) -> Option<(&'static str, String)> {
     let plain = |ch: char| !ch.is_control() && !matches!(ch, ' ' | ',' | '=' | '"');
     let positive = |v: f64| v.is_finite() && v > 0.0;
     if c.team.is_empty() || !c.team.chars().all(plain) || c.team.len() > 255 {
@@ -194,12 +194,12 @@
         if !b.seconds.is_finite() || b.seconds < LEAST_SECONDS {
             return Some(("budget", format!("must hold {LEAST_SECONDS} second or more, not {}", b.seconds)));
         }
-        if b.per == 0 {
+        if b.period == 0 {
             return Some(("budget", "needs a span of more than 0 in `per`".into()));
         }
         // With a hair of room for figures that were computed.
-        if b.sustains() > c.connections * (1.0 + 1e-9) {
-            let most = c.connections * b.per as f64 / 1e6;
+        if b.sustained_connections() > c.connections * (1.0 + 1e-9) {
+            let most = c.connections * b.period as f64 / 1e6;
             let text = format!(
                 "of {} seconds can never be used up: {} connections use {most} in its span; lower it, or leave it out",
                 b.seconds, c.connections
@@ -230,7 +230,7 @@
 
 /// One figure that a change of the terms has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct TermsChange {
     /// The team; empty where it is about none.
     pub team: String,
     /// The key; `contract` where the whole came or went.
@@ -242,22 +242,22 @@
 }
 
 /// What differs between two sets of terms, in the order of the teams' names.
-pub fn changes(before: &Terms, after: &Terms) -> Vec<Change> {
+pub fn diff_terms(before: &Terms, after: &Terms) -> Vec<TermsChange> {
     const NONE: &str = "none";
     let mut all = Vec::new();
     let text = |v: Option<String>| v.unwrap_or_else(|| NONE.into());
     let mut differ = |team: &str, key, before: String, after: String| {
         if before != after {
-            all.push(Change { team: team.into(), key, before, after });
+            all.push(TermsChange { team: team.into(), key, before, after });
         }
     };
     let figure = |v: Option<f64>| text(v.map(|v| v.to_string()));
     differ("", "capacity.connections", figure(before.capacity), figure(after.capacity));
     let instances = |t: &Terms| text(t.instances.map(|n| n.to_string()));
     differ("", "capacity.instances", instances(before), instances(after));
-    differ("", "reclaim.rate", figure(before.reclaim), figure(after.reclaim));
+    differ("", "reclaim.rate", figure(before.reclaim_rate), figure(after.reclaim_rate));
     let by_name = |t: &Terms| -> BTreeMap<Arc<str>, BTreeMap<&'static str, String>> {
-        t.contracts.iter().map(|c| (c.team.clone(), c.figures())).collect()
+        t.contracts.iter().map(|c| (c.team.clone(), c.values_by_key())).collect()
     };
     let (old, new) = (by_name(before), by_name(after));
     let names: std::collections::BTreeSet<&Arc<str>> = old.keys().chain(new.keys()).collect();
--- a/src/contracts/mod.rs
+++ b/src/contracts/mod.rs
@@ -23,10 +23,10 @@
 pub mod row;
 
 use crate::api::{CallId, HostId, Micros};
-use admission::{Room, Share, TeamId, UNBOUNDED};
+use admission::{Share, SharePool, TeamId, UNBOUNDED};
 use bucket::{Meter, Tokens};
 use capacity::Capacity;
-pub use contract::{Change, Contract, Terms, OTHERS};
+pub use contract::{Contract, Terms, TermsChange, OTHERS};
 use ledger::{ClassUse, Ledger, Reason};
 use reclaim::{ranks, Movable, Pace};
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,13 +45,13 @@
 
 /// What does not change while the program runs.
 #[derive(Clone, Debug, Default)]
-pub struct Frame {
+pub struct FixedSettings {
     /// The classes, as contracts name them, with the worth of each.
     pub classes: Vec<(String, f64)>,
     /// How many balancers share the contracts.
     pub balancers: u32,
     /// The longest that a client may be asked to stay away; none where no advice reaches clients.
-    pub longest: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
 }
 
 /// A request that was let in; to be given back once.
@@ -64,18 +64,18 @@
     /// Why.
     pub reason: Reason,
     /// When it is worth coming again; none where no advice reaches clients.
-    pub after: Option<Micros>,
+    pub retry_after: Option<Micros>,
 }
 
 /// How one that was let in ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum EndReason {
     /// No instance could take it.
-    TurnedAway,
+    NoInstance,
     /// It failed, or its client left, before it stood.
-    Lost,
+    NotEstablished,
     /// It stood, and has ended.
-    Ended,
+    Closed,
 }
 
 /// A team's account at a time.
@@ -92,13 +92,13 @@
     /// The counts.
     pub ledger: Ledger,
     /// Connection-microseconds used, and by class.
-    pub used: u64,
+    pub used_us: u64,
     /// By class.
-    pub classes: Vec<ClassUse>,
+    pub class_usage: Vec<ClassUse>,
     /// Connection seconds left of the budget, where there is one.
-    pub budget_left: Option<f64>,
+    pub budget_left_seconds: Option<f64>,
     /// How long until the budget is whole again if nothing draws on it.
-    pub whole_in: Option<Micros>,
+    pub budget_full_in: Option<Micros>,
 }
 
 #[derive(Debug)]
@@ -129,7 +129,7 @@
 /// The contracts of all teams at one balancer.
 #[derive(Debug)]
 pub struct Contracts {
-    frame: Frame,
+    settings: FixedSettings,
     terms: Terms,
     ranks: Vec<u32>,
     teams: Vec<Team>,
@@ -137,7 +137,7 @@
     /// The team whose contract alone names a class, by class.
     sole: Vec<Option<TeamId>>,
     others: TeamId,
-    room: Room,
+    pool: SharePool,
     capacity: Capacity,
     pace: Pace,
     entries: Vec<Option<Entry>>,
@@ -151,18 +151,18 @@
 
 impl Contracts {
     /// Contracts in force from now on. The terms must be valid.
-    pub fn new(now: Micros, frame: Frame, terms: Terms) -> Contracts {
-        let worths: Vec<f64> = frame.classes.iter().map(|c| c.1).collect();
-        let part = 1.0 / f64::from(frame.balancers.max(1));
+    pub fn new(now: Micros, settings: FixedSettings, terms: Terms) -> Contracts {
+        let worths: Vec<f64> = settings.classes.iter().map(|c| c.1).collect();
+        let part = 1.0 / f64::from(settings.balancers.max(1));
         let mut all = Contracts {
             ranks: ranks(&worths),
-            pace: Pace::new(now, terms.reclaim, part),
+            pace: Pace::new(now, terms.reclaim_rate, part),
             terms: Terms::default(),
             teams: Vec::new(),
             by_name: BTreeMap::new(),
-            sole: vec![None; frame.classes.len()],
+            sole: vec![None; settings.classes.len()],
             others: 0,
-            room: Room::new(),
+            pool: SharePool::new(),
             capacity: Capacity::default(),
             entries: Vec::new(),
             free: Vec::new(),
@@ -171,16 +171,16 @@
             due: BTreeSet::new(),
             looked: now,
             cut: 1.0,
-            frame,
+            settings,
         };
         all.others = all.team_of(now, &Contract::none(OTHERS));
-        all.change(now, terms);
+        all.apply_terms(now, terms);
         all
     }
 
     /// This balancer's part of a fleet figure.
     fn part(&self) -> f64 {
-        1.0 / f64::from(self.frame.balancers.max(1))
+        1.0 / f64::from(self.settings.balancers.max(1))
     }
 
     /// The terms in force.
@@ -189,13 +189,13 @@
     }
 
     /// The names of all teams, by number. Numbers stay as long as the program runs.
-    pub fn teams(&self) -> impl Iterator<Item = &Contract> {
+    pub fn team_contracts(&self) -> impl Iterator<Item = &Contract> {
         self.teams.iter().map(|team| &team.contract)
     }
 
     /// Whose a request is: the team that it names, else the one whose contract alone names its class, else the
     /// others'.
-    pub fn team(&self, name: Option<&str>, class: usize) -> TeamId {
+    pub fn resolve_team(&self, name: Option<&str>, class: usize) -> TeamId {
         let named = name.and_then(|name| self.by_name.get(name)).copied();
         let named = named.filter(|&team| !self.teams[team].removed);
         named.or_else(|| self.sole.get(class).copied().flatten()).unwrap_or(self.others)
@@ -207,7 +207,7 @@
             return team;
         }
         let share = Share { weight: contract.weight, borrows: contract.borrow, ..Share::default() };
-        let team = self.room.add(share);
+        let team = self.pool.add(share);
         self.teams.push(Team {
             contract: contract.clone(),
             removed: false,
@@ -229,21 +229,21 @@
 
     /// Other terms are in force from now on: what changed. Ledgers, connections and what is left of budgets
     /// stay. The terms must be valid.
-    pub fn change(&mut self, now: Micros, mut terms: Terms) -> Vec<Change> {
+    pub fn apply_terms(&mut self, now: Micros, mut terms: Terms) -> Vec<TermsChange> {
         // Neither numbers nor sums may hang on the order in the file.
         terms.contracts.sort_by(|a, b| a.team.cmp(&b.team));
         (0..self.teams.len()).for_each(|team| self.flow(now, team));
-        let changes = contract::changes(&self.terms, &terms);
+        let changes = contract::diff_terms(&self.terms, &terms);
         let mut contracts = terms.contracts.clone();
         if !contracts.iter().any(|c| &*c.team == OTHERS) {
             contracts.push(Contract::none(OTHERS));
         }
-        let mut named: Vec<Vec<TeamId>> = vec![Vec::new(); self.frame.classes.len()];
+        let mut named: Vec<Vec<TeamId>> = vec![Vec::new(); self.settings.classes.len()];
         let mut there = BTreeSet::new();
         for contract in contracts {
             let team = self.team_of(now, &contract);
             there.insert(team);
-            let known = |name: &String| self.frame.classes.iter().position(|(n, _)| n == name);
+            let known = |name: &String| self.settings.classes.iter().position(|(n, _)| n == name);
             let classes: Option<BTreeSet<usize>> =
                 contract.classes.as_ref().map(|all| all.iter().filter_map(known).collect());
             classes.iter().flatten().for_each(|&class| named[class].push(team));
@@ -261,13 +261,13 @@
             (t.classes, t.removed) = (classes, false);
             let (weight, borrows) = (contract.weight, contract.borrow);
             t.contract = contract;
-            self.room.edit(team, |s| (s.weight, s.borrows) = (weight, borrows));
+            self.pool.edit(team, |s| (s.weight, s.borrows) = (weight, borrows));
         }
         for team in (0..self.teams.len()).filter(|team| !there.contains(team)) {
             let t = &mut self.teams[team];
             t.contract = Contract { borrow: false, ..Contract::none(&t.contract.team) };
             (t.removed, t.rate, t.meter) = (true, None, None);
-            self.room.edit(team, |s| (s.borrows, s.waiting) = (false, 0));
+            self.pool.edit(team, |s| (s.borrows, s.waiting) = (false, 0));
         }
         let sole = |teams: Vec<TeamId>| match teams[..] {
             [team] => Some(team),
@@ -281,13 +281,17 @@
     }
 
     /// The list names these instances as ready: their sizes, and when they were started.
-    pub fn listed(&mut self, now: Micros, ready: impl IntoIterator<Item = (HostId, f64, Micros)>) {
+    pub fn set_ready_instances(
+        &mut self,
+        now: Micros,
+        ready: impl IntoIterator<Item = (HostId, f64, Micros)>,
+    ) {
         self.capacity.listed(ready);
         self.resize(now);
     }
 
     /// An attempt at an instance was served, or could not connect or was not answered.
-    pub fn seen(&mut self, now: Micros, host: HostId, served: bool) {
+    pub fn record_attempt(&mut self, now: Micros, host: HostId, served: bool) {
         if self.capacity.seen(host, served) {
             self.resize(now);
         }
@@ -298,17 +302,17 @@
         self.looked = now;
         let capacity = self.capacity.now(now);
         // Down: to let in a part of a connection is to be over.
-        self.room.bears(capacity.map_or(UNBOUNDED, |c| c as u64));
+        self.pool.bears(capacity.map_or(UNBOUNDED, |c| c as u64));
         let sum: f64 = self.terms.contracts.iter().map(|c| c.connections).sum::<f64>() * self.part();
         self.cut = capacity.map_or(1.0, |c| (c.floor() / sum.max(f64::MIN_POSITIVE)).min(1.0));
-        self.pace.changed(now, self.terms.reclaim, capacity);
+        self.pace.changed(now, self.terms.reclaim_rate, capacity);
         for team in 0..self.teams.len() {
             self.settle(now, team);
         }
     }
 
     /// What of each contract stands while the room bears less than all of them: 1 for the whole.
-    pub fn cut(&self) -> f64 {
+    pub fn reduction_factor(&self) -> f64 {
         self.cut
     }
 
@@ -316,20 +320,21 @@
     fn allows(&self, team: TeamId) -> u32 {
         let t = &self.teams[team];
         let most = t.contract.connections * self.part() * self.cut;
-        let earned = t.meter.as_ref().filter(|m| m.empty()).map_or(f64::INFINITY, Meter::sustains);
+        let earned =
+            t.meter.as_ref().filter(|m| m.empty()).map_or(f64::INFINITY, Meter::sustained_connections);
         // Up, or contracts of less than one connection at each balancer would be nothing anywhere.
         (most.min(earned) - 1e-9).ceil().max(0.0) as u32
     }
 
     /// Connections that draw on its budget.
     fn drawn(&self, team: TeamId) -> u32 {
-        let s = self.room.share(team);
+        let s = self.pool.share(team);
         s.held.min(s.contract)
     }
 
     /// Time passes for a team.
     fn flow(&mut self, now: Micros, team: TeamId) {
-        let (held, contract) = (self.room.share(team).held, self.room.share(team).contract);
+        let (held, contract) = (self.pool.share(team).held, self.pool.share(team).contract);
         let t = &mut self.teams[team];
         t.ledger.flow(now, held, contract);
         if let Some(meter) = &mut t.meter {
@@ -341,13 +346,13 @@
     fn settle(&mut self, now: Micros, team: TeamId) {
         self.flow(now, team);
         let contract = self.allows(team);
-        if self.room.share(team).contract != contract {
-            self.room.edit(team, |s| s.contract = contract);
+        if self.pool.share(team).contract != contract {
+            self.pool.edit(team, |s| s.contract = contract);
         }
         let drawn = self.drawn(team);
         let turns = self.teams[team].meter.as_ref().and_then(|m| m.turns(drawn));
-        let idle = self.room.share(team).asked.saturating_add(self.idle_after());
-        let lapse = self.room.lapses(team).then_some(idle);
+        let idle = self.pool.share(team).asked.saturating_add(self.idle_after());
+        let lapse = self.pool.lapses(team).then_some(idle);
         let due = turns.into_iter().chain(lapse).min();
         let t = &mut self.teams[team];
         if t.due != due {
@@ -358,11 +363,17 @@
     }
 
     fn idle_after(&self) -> Micros {
-        self.frame.longest.unwrap_or(0) + IDLE_AFTER
+        self.settings.max_retry_after.unwrap_or(0) + IDLE_AFTER
     }
 
     /// A request asks to be let in.
-    pub fn ask(&mut self, now: Micros, team: TeamId, class: usize, call: &CallId) -> Result<Ticket, Refusal> {
+    pub fn request_admission(
+        &mut self,
+        now: Micros,
+        team: TeamId,
+        class: usize,
+        call: &CallId,
+    ) -> Result<Ticket, Refusal> {
         self.flow(now, team);
         let t = &mut self.teams[team];
         t.ledger.asked += 1;
@@ -371,7 +382,7 @@
         let verdict = match (named && !t.removed, paced) {
             (false, _) => Err(Reason::Class),
             (_, false) => Err(Reason::Rate),
-            _ => self.room.judge(team),
+            _ => self.pool.judge(team),
         };
         let empty = t.meter.as_ref().is_some_and(Meter::empty);
         let verdict = match verdict {
@@ -388,11 +399,11 @@
             Err(reason) => {
                 self.teams[team].ledger.refuse(reason);
                 let waits = matches!(reason, Reason::Reclaim | Reason::Full | Reason::Idle | Reason::Share);
-                self.room.edit(team, |s| {
+                self.pool.edit(team, |s| {
                     s.asked = now;
                     s.waiting = s.waiting.saturating_add(u32::from(waits));
                 });
-                Err(Refusal { reason, after: self.after(now, team, reason) })
+                Err(Refusal { reason, retry_after: self.retry_after(now, team, reason) })
             }
         };
         self.settle(now, team);
@@ -404,13 +415,13 @@
         self.flow(now, team);
         self.teams[team].ledger.asked += 1;
         self.teams[team].ledger.within += 1;
-        let ticket = self.take_over(now, team, class, call);
-        self.stands(&ticket);
+        let ticket = self.count_existing(now, team, class, call);
+        self.mark_established(&ticket);
         ticket
     }
 
     /// One that was in hand before there were contracts: it counts from now on, and was never asked for.
-    pub fn take_over(&mut self, now: Micros, team: TeamId, class: usize, call: &CallId) -> Ticket {
+    pub fn count_existing(&mut self, now: Micros, team: TeamId, class: usize, call: &CallId) -> Ticket {
         self.flow(now, team);
         let ticket = self.enter(now, team, class, call, false);
         self.settle(now, team);
@@ -427,7 +438,7 @@
         });
         self.entries[place] = Some(entry);
         self.teams[team].ledger.count(now, class, true);
-        self.room.edit(team, |s| {
+        self.pool.edit(team, |s| {
             s.held += 1;
             if asked {
                 (s.asked, s.waiting) = (now, s.waiting.saturating_sub(1));
@@ -437,34 +448,34 @@
     }
 
     /// When it is worth coming again.
-    fn after(&mut self, now: Micros, team: TeamId, reason: Reason) -> Option<Micros> {
-        let longest = self.frame.longest?;
+    fn retry_after(&mut self, now: Micros, team: TeamId, reason: Reason) -> Option<Micros> {
+        let max_retry_after = self.settings.max_retry_after?;
         self.refused += 1;
         // Those that are refused together are not to come together: from a half of the time to one and a half.
         let spread = 0.5 + (self.refused as f64 * GOLDEN).fract();
         let turnover = |life: Option<Micros>, held: u64| {
             (life.unwrap_or(LIFE) as f64 / held.max(1) as f64 * spread) as Micros
         };
-        let s = self.room.share(team);
-        let (held, all) = (u64::from(s.held), self.room.held());
+        let s = self.pool.share(team);
+        let (held, all) = (u64::from(s.held), self.pool.held());
         let t = &mut self.teams[team];
         let life = t.ledger.mean_life(now);
         let after = match reason {
-            Reason::Class => longest,
-            Reason::Rate => t.rate.as_mut().map_or(longest, |rate| rate.wait(now)),
+            Reason::Class => max_retry_after,
+            Reason::Rate => t.rate.as_mut().map_or(max_retry_after, |rate| rate.wait(now)),
             Reason::Contract => turnover(life, held),
             Reason::Budget => {
-                let whole = t.meter.as_ref().map_or(longest, Meter::whole_in);
+                let whole = t.meter.as_ref().map_or(max_retry_after, Meter::whole_in);
                 turnover(life, held).min(whole)
             }
-            Reason::Reclaim => self.pace.span(self.room.owed()) + MARGIN,
+            Reason::Reclaim => self.pace.span(self.pool.owed()) + MARGIN,
             Reason::Idle | Reason::Share | Reason::Full | Reason::Placement => turnover(life, all),
         };
-        Some(after.clamp(1_000.min(longest), longest))
+        Some(after.clamp(1_000.min(max_retry_after), max_retry_after))
     }
 
     /// A connection that was let in stands.
-    pub fn stands(&mut self, ticket: &Ticket) {
+    pub fn mark_established(&mut self, ticket: &Ticket) {
         let Some(Some(entry)) = self.entries.get_mut(ticket.0) else { return };
         if !std::mem::replace(&mut entry.stands, true) {
             let team = &mut self.teams[entry.team];
@@ -474,7 +485,7 @@
     }
 
     /// One that was let in is over.
-    pub fn over(&mut self, now: Micros, ticket: Ticket, end: End) {
+    pub fn release(&mut self, now: Micros, ticket: Ticket, end: EndReason) {
         let Some(entry) = self.entries.get_mut(ticket.0).and_then(Option::take) else { return };
         self.free.push(ticket.0);
         let team = entry.team;
@@ -483,25 +494,25 @@
         t.movable.remove(rank(&self.ranks, entry.class), entry.number, ticket.0);
         t.ledger.count(now, entry.class, false);
         match end {
-            End::TurnedAway => t.ledger.refuse(Reason::Placement),
-            End::Lost => t.ledger.lost += 1,
-            End::Ended => t.ledger.ended += 1,
+            EndReason::NoInstance => t.ledger.refuse(Reason::Placement),
+            EndReason::NotEstablished => t.ledger.lost += 1,
+            EndReason::Closed => t.ledger.ended += 1,
         }
-        self.room.edit(team, |s| {
+        self.pool.edit(team, |s| {
             s.held -= 1;
             s.leaving -= u32::from(entry.leaving);
         });
-        if end == End::TurnedAway {
-            self.capacity.turned_away(now, self.room.held() as u32);
+        if end == EndReason::NoInstance {
+            self.capacity.turned_away(now, self.pool.held() as u32);
             self.resize(now);
         }
         self.settle(now, team);
     }
 
     /// When [`Contracts::turn`] is to be called next, if nothing happens before.
-    pub fn due(&mut self, now: Micros) -> Option<Micros> {
+    pub fn next_due(&mut self, now: Micros) -> Option<Micros> {
         // A mover whose connections are being set up still has nothing to move: its next event brings us here.
-        let moves = self.room.movers().iter().any(|&team| self.teams[team].movable.first().is_some());
+        let moves = self.pool.movers().iter().any(|&team| self.teams[team].movable.first().is_some());
         let moves = moves.then(|| now.saturating_add(self.pace.wait(now)));
         let looks = self.capacity.grows().then_some(self.looked.saturating_add(LOOK));
         let teams = self.due.first().map(|&(at, _)| at);
@@ -510,13 +521,13 @@
 
     /// Does what is due: contracts follow their budgets, what nobody asks for is lent, and connections are to be
     /// asked to move.
-    pub fn turn(&mut self, now: Micros) -> Vec<CallId> {
+    pub fn run_due(&mut self, now: Micros) -> Vec<CallId> {
         while let Some(&(at, team)) = self.due.first().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, team));
             self.teams[team].due = None;
-            let silent = now.saturating_sub(self.room.share(team).asked);
+            let silent = now.saturating_sub(self.pool.share(team).asked);
             if silent >= self.idle_after() {
-                self.room.lapse(team);
+                self.pool.lapse(team);
             }
             self.settle(now, team);
         }
@@ -525,7 +536,7 @@
         }
         let mut moves = Vec::new();
         loop {
-            let movers = self.room.movers();
+            let movers = self.pool.movers();
             let first = |team: &TeamId| self.teams[*team].movable.first().map(|place| (*team, place));
             let Some((team, place)) = movers.iter().find_map(first) else { break };
             if !self.pace.go(now) {
@@ -536,18 +547,18 @@
             let t = &mut self.teams[team];
             t.movable.remove(rank(&self.ranks, entry.class), entry.number, place);
             t.ledger.moved += 1;
-            self.room.edit(team, |s| s.leaving += 1);
+            self.pool.edit(team, |s| s.leaving += 1);
             moves.push(entry.call.clone());
         }
         moves
     }
 
     /// The accounts of all teams that have a contract, hold anything, or ever asked.
-    pub fn account(&self, now: Micros) -> Vec<Account> {
+    pub fn accounts(&self, now: Micros) -> Vec<Account> {
         let all = self.teams.iter().enumerate();
         let told = all.filter(|(_, t)| t.ledger.asked > 0 || (!t.removed && t.contract.connections > 0.0));
         told.map(|(team, t)| {
-            let s = self.room.share(team);
+            let s = self.pool.share(team);
             let mut ledger = t.ledger.clone();
             ledger.flow(now, s.held, s.contract);
             let mut meter = t.meter.clone();
@@ -557,30 +568,30 @@
                 held: s.held,
                 contract: s.contract,
                 stated: t.contract.connections * self.part(),
-                used: ledger.used(now),
-                classes: ledger.by_class(now).collect(),
+                used_us: ledger.used(now),
+                class_usage: ledger.by_class(now).collect(),
                 ledger,
-                budget_left: meter.as_ref().map(Meter::left),
-                whole_in: meter.as_ref().map(Meter::whole_in),
+                budget_left_seconds: meter.as_ref().map(Meter::left),
+                budget_full_in: meter.as_ref().map(Meter::whole_in),
             }
         })
         .collect()
     }
 
     /// The room, for whoever looks.
-    pub fn room(&self) -> &Room {
-        &self.room
+    pub fn pool(&self) -> &SharePool {
+        &self.pool
     }
 
     /// The accounts as they are told.
-    pub fn rows(&self, now: Micros) -> Vec<row::Row> {
+    pub fn account_rows(&self, now: Micros) -> Vec<row::Row> {
         let classes: Vec<String> = self.classes().map(Into::into).collect();
-        self.account(now).iter().map(|account| row::Row::new(account, &classes)).collect()
+        self.accounts(now).iter().map(|account| row::Row::new(account, &classes)).collect()
     }
 
     /// The names of the classes.
     pub fn classes(&self) -> impl Iterator<Item = &str> {
-        self.frame.classes.iter().map(|(name, _)| name.as_str())
+        self.settings.classes.iter().map(|(name, _)| name.as_str())
     }
 }
 
--- a/src/contracts/row.rs
+++ b/src/contracts/row.rs
@@ -69,12 +69,12 @@
             moved: l.moved,
             ended: l.ended,
             refused: l.refused.to_vec(),
-            used: seconds(a.used),
+            used: seconds(a.used_us),
             over: seconds(l.over),
             allowed: seconds(l.allowed),
-            left: a.budget_left,
-            whole_in: a.whole_in.map(seconds),
-            classes: a.classes.iter().enumerate().map(used).collect::<Vec<_>>().join(" "),
+            left: a.budget_left_seconds,
+            whole_in: a.budget_full_in.map(seconds),
+            classes: a.class_usage.iter().enumerate().map(used).collect::<Vec<_>>().join(" "),
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Whether it has counted no less than another of its process and team.
-    pub fn as_late_as(&self, other: &Row) -> bool {
+    pub fn is_at_least_as_recent_as(&self, other: &Row) -> bool {
         let counted = |row: &Row| row.asked + row.ended + row.moved;
         counted(self) >= counted(other) && self.allowed >= other.allowed
     }
--- a/src/group/account.rs
+++ b/src/group/account.rs
@@ -40,7 +40,7 @@
         for row in report.rows {
             let key = (report.balancer.clone(), report.started, row.team.clone());
             let known = self.rows.get(&key);
-            if known.map_or(self.rows.len() < MOST, |known| row.as_late_as(known)) {
+            if known.map_or(self.rows.len() < MOST, |known| row.is_at_least_as_recent_as(known)) {
                 self.rows.insert(key, row);
             }
         }
@@ -85,7 +85,7 @@
             for page in [books[1].page(2, 2, 2, &[], 1), books[0].page(2, 1, 1, &[], 1)] {
                 for (name, started, row) in page.rows {
                     let known = latest.entry((name, started)).or_default();
-                    if row.as_late_as(known) {
+                    if row.is_at_least_as_recent_as(known) {
                         *known = row;
                     }
                 }
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -266,7 +266,8 @@
             self.member.drains(now, !operations.ready());
             if now >= counted + REPORT {
                 counted = now;
-                let rows = broker.contracts(|contracts| contracts.rows(broker.now())).unwrap_or_default();
+                let rows =
+                    broker.contracts(|contracts| contracts.account_rows(broker.now())).unwrap_or_default();
                 self.member.count(now, &rows);
             }
             if let Some(digest) = self.tells.filter(|every| now >= told + every).and_then(|_| broker.digest())
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::api::{Micros, RetryBudget};
 use crate::config::Xmpp;
-use crate::contracts::contract::{self, Budget, Contract, Rate, Terms, Wrong, OTHERS};
+use crate::contracts::contract::{self, Budget, Contract, Rate, Terms, TermsError, OTHERS};
 use crate::rebalance;
 use serde::Deserialize;
 use spans::Span;
@@ -203,7 +203,7 @@
             budget: self
                 .budget
                 .as_ref()
-                .map(|b| Budget { seconds: b.get_ref().seconds, per: b.get_ref().per.0 }),
+                .map(|b| Budget { seconds: b.get_ref().seconds, period: b.get_ref().per.0 }),
             weight: self.weight.as_ref().map_or(1.0, |w| *w.get_ref()),
             borrow: self.borrow.unwrap_or(true),
             deadline: self.deadline.as_ref().map(|d| d.get_ref().0),
@@ -257,9 +257,9 @@
             contracts,
             capacity: file.capacity.connections.as_ref().map(|c| *c.get_ref()),
             instances: file.capacity.instances.as_ref().map(|n| *n.get_ref()),
-            reclaim: file.reclaim.rate.as_ref().map(|r| *r.get_ref()),
+            reclaim_rate: file.reclaim.rate.as_ref().map(|r| *r.get_ref()),
         };
-        contract::validate(&terms).map_err(|Wrong { contract, key, text: what }| {
+        contract::validate(&terms).map_err(|TermsError { contract, key, text: what }| {
             let place = match contract {
                 Some(i) => file.team[i].get_ref().place(key),
                 None => match key {
@@ -283,7 +283,7 @@
             );
             warnings.push(wrong(Some(capacity.span()), what));
         }
-        if terms.contracts.is_empty() && (terms.capacity.is_some() || terms.reclaim.is_some()) {
+        if terms.contracts.is_empty() && (terms.capacity.is_some() || terms.reclaim_rate.is_some()) {
             return Err(wrong(
                 file.capacity.connections.as_ref().map(Spanned::span),
                 "nothing is shared out without a contract: add a [[team]], or take this out".into(),
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -297,7 +297,7 @@
 impl Clerk {
     fn write(&self) {
         let now = self.broker.now();
-        let rows = self.broker.contracts(|contracts| contracts.rows(now)).unwrap_or_default();
+        let rows = self.broker.contracts(|contracts| contracts.account_rows(now)).unwrap_or_default();
         rows.iter().for_each(|row| logging::account(&self.balancer, self.started, row));
     }
 }
--- a/tests/contracts.rs
+++ b/tests/contracts.rs
@@ -2,7 +2,7 @@
 
 use oakdeal::contracts::contract::{self, Budget, Rate};
 use oakdeal::contracts::ledger::Reason;
-use oakdeal::contracts::{Contract, Contracts, End, Frame, Refusal, Terms, Ticket};
+use oakdeal::contracts::{Contract, Contracts, EndReason, FixedSettings, Refusal, Terms, Ticket};
 use oakdeal::{CallId, Micros};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -42,7 +42,7 @@
     fn new(balancers: u32, terms: Terms) -> Desk {
         contract::validate(&terms).expect("good terms");
         let classes = vec![("watch".into(), 5.0), ("payout".into(), 15.0)];
-        let frame = Frame { classes, balancers, longest: Some(2 * S) };
+        let frame = FixedSettings { classes, balancers, max_retry_after: Some(2 * S) };
         let all = Contracts::new(S, frame, terms);
         Desk { all, now: S, live: BTreeMap::new(), past: BTreeMap::new(), last: 0 }
     }
@@ -51,10 +51,10 @@
     fn ask(&mut self, name: &str, class: usize) -> Result<CallId, Refusal> {
         self.last += 1;
         let call: CallId = format!("{:08}", self.last).as_str().into();
-        let team = self.all.team(Some(name), class);
-        let ticket = self.all.ask(self.now, team, class, &call)?;
-        self.all.stands(&ticket);
-        let team = self.all.teams().nth(team).expect("a team").team.to_string();
+        let team = self.all.resolve_team(Some(name), class);
+        let ticket = self.all.request_admission(self.now, team, class, &call)?;
+        self.all.mark_established(&ticket);
+        let team = self.all.team_contracts().nth(team).expect("a team").team.to_string();
         self.live.insert(call.clone(), Held { ticket, team, since: self.now });
         Ok(call)
     }
@@ -71,21 +71,21 @@
         }
     }
 
-    fn end(&mut self, call: &CallId, how: End) {
+    fn end(&mut self, call: &CallId, how: EndReason) {
         let held = self.live.remove(call).expect("held");
         *self.past.entry(held.team).or_default() += self.now - held.since;
-        self.all.over(self.now, held.ticket, how);
+        self.all.release(self.now, held.ticket, how);
     }
 
     /// Time passes with all that is due in it; who was asked to move leaves at once. How many that were.
     fn pass(&mut self, span: Micros) -> usize {
         let (until, mut moved) = (self.now + span, 0);
         loop {
-            for call in self.all.turn(self.now) {
+            for call in self.all.run_due(self.now) {
                 moved += 1;
-                self.end(&call, End::Ended);
+                self.end(&call, EndReason::Closed);
             }
-            match self.all.due(self.now) {
+            match self.all.next_due(self.now) {
                 Some(at) if at <= until => self.now = at.max(self.now + 1),
                 _ => break,
             }
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Ask(usize, usize),
-    End(usize, End),
+    End(usize, EndReason),
     Pass(Micros),
     Listed(u32),
     Seen(u32, bool),
@@ -131,7 +131,7 @@
             }),
             budget: budget.map(|(part, s)| Budget {
                 seconds: (connections * part * s as f64).max(1.0).min(connections * s as f64),
-                per: s * S,
+                period: s * S,
             }),
             weight: if borrow { weight } else { 1.0 },
             borrow,
@@ -147,7 +147,8 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let how = prop_oneof![Just(End::Ended), Just(End::Lost), Just(End::TurnedAway)];
+    let how =
+        prop_oneof![Just(EndReason::Closed), Just(EndReason::NotEstablished), Just(EndReason::NoInstance)];
     let step = prop_oneof![
         8 => (0..NAMES.len(), 0..2usize).prop_map(|(team, class)| Step::Ask(team, class)),
         3 => (any::<usize>(), how).prop_map(|(i, how)| Step::End(i, how)),
@@ -167,9 +168,9 @@
     for step in steps {
         match step {
             Step::Ask(who, class) => {
-                let team = desk.all.team(Some(NAMES[*who]), *class);
-                let (held, capacity) = (desk.all.room().held(), desk.all.room().capacity());
-                let before = desk.all.room().share(team).clone();
+                let team = desk.all.resolve_team(Some(NAMES[*who]), *class);
+                let (held, capacity) = (desk.all.pool().held(), desk.all.pool().capacity());
+                let before = desk.all.pool().share(team).clone();
                 let asked = desk.ask(NAMES[*who], *class);
                 match asked {
                     Ok(_) => prop_assert!(held < capacity, "let in over the capacity: {held} of {capacity}"),
@@ -177,10 +178,13 @@
                         let within = before.held < before.contract && held < capacity;
                         let own = matches!(no.reason, Reason::Rate | Reason::Class);
                         prop_assert!(!within || own, "{no:?} though {before:?} fits {held} of {capacity}");
-                        prop_assert!(no.after.is_some_and(|us| (1_000..=2 * S).contains(&us)), "{no:?}");
+                        prop_assert!(
+                            no.retry_after.is_some_and(|us| (1_000..=2 * S).contains(&us)),
+                            "{no:?}"
+                        );
                     }
                 }
-                said.push(format!("{} {:?}", NAMES[*who], asked.map_err(|no| (no.reason, no.after))));
+                said.push(format!("{} {:?}", NAMES[*who], asked.map_err(|no| (no.reason, no.retry_after))));
             }
             Step::End(i, how) => {
                 let n = desk.live.len();
@@ -194,40 +198,40 @@
                 let until = desk.now + span;
                 loop {
                     let over = |desk: &Desk, team| {
-                        let s = desk.all.room().share(team);
+                        let s = desk.all.pool().share(team);
                         i64::from(s.held) - i64::from(s.leaving) - i64::from(s.contract)
                     };
-                    for call in desk.all.turn(desk.now) {
+                    for call in desk.all.run_due(desk.now) {
                         let name = desk.live[&call].team.clone();
-                        let team = desk.all.teams().position(|c| *c.team == *name).expect("a team");
+                        let team = desk.all.team_contracts().position(|c| *c.team == *name).expect("a team");
                         prop_assert!(over(&desk, team) >= 0, "{name} was asked to move below its contract");
                         said.push(format!("{name} moves {call:?}"));
-                        desk.end(&call, End::Ended);
+                        desk.end(&call, EndReason::Closed);
                     }
-                    match desk.all.due(desk.now) {
+                    match desk.all.next_due(desk.now) {
                         Some(at) if at <= until => desk.now = at.max(desk.now + 1),
                         _ => break,
                     }
                 }
                 desk.now = until;
             }
-            Step::Listed(n) => desk.all.listed(desk.now, (0..*n).map(|host| (host, 1.0, 0))),
-            Step::Seen(host, served) => desk.all.seen(desk.now, *host, *served),
+            Step::Listed(n) => desk.all.set_ready_instances(desk.now, (0..*n).map(|host| (host, 1.0, 0))),
+            Step::Seen(host, served) => desk.all.record_attempt(desk.now, *host, *served),
             Step::Change(terms) => {
                 contract::validate(terms).expect("good terms");
-                said.push(format!("{:?}", desk.all.change(desk.now, terms.clone())));
+                said.push(format!("{:?}", desk.all.apply_terms(desk.now, terms.clone())));
             }
         }
-        let sound = desk.all.room().validate();
+        let sound = desk.all.pool().validate();
         prop_assert!(sound.is_ok(), "{sound:?} after {step:?}");
-        for a in desk.all.account(desk.now) {
-            prop_assert_eq!(a.used, desk.used(&a.team), "the ledger of {} after {:?}", a.team, step);
+        for a in desk.all.accounts(desk.now) {
+            prop_assert_eq!(a.used_us, desk.used(&a.team), "the ledger of {} after {:?}", a.team, step);
             prop_assert_eq!(a.held as usize, desk.held(&a.team));
             let l = &a.ledger;
             let done = l.within + l.borrowed + l.refused.iter().sum::<u64>();
             // One that was let in and turned away later is counted at both.
             prop_assert_eq!(l.asked, done - l.refused[Reason::Placement as usize]);
-            prop_assert!(a.budget_left.is_none_or(|left| left >= 0.0));
+            prop_assert!(a.budget_left_seconds.is_none_or(|left| left >= 0.0));
         }
     }
     Ok(said)
@@ -288,7 +292,7 @@
                 Ok(_) => last = desk.now,
                 Err(no) => {
                     assert_eq!(no.reason, Reason::Reclaim);
-                    *due.entry(desk.now + no.after.expect("told")).or_default() += 1;
+                    *due.entry(desk.now + no.retry_after.expect("told")).or_default() += 1;
                 }
             }
         }
@@ -320,10 +324,10 @@
     assert_eq!(["a", "b", "c"].map(|name| desk.held(name)), [30, 15, 15]);
     // Half of the instances die: the room and each contract halve; who is over is asked to go as owners wait.
     let mut desk = Desk::new(1, terms(120.0, all()));
-    desk.all.listed(desk.now, (0..4).map(|host| (host, 1.0, 0)));
+    desk.all.set_ready_instances(desk.now, (0..4).map(|host| (host, 1.0, 0)));
     assert_eq!(desk.flood("a", 200), 116, "what is idle, less what is kept");
-    desk.all.listed(desk.now, (0..2).map(|host| (host, 1.0, 0)));
-    assert_eq!(desk.all.cut(), 0.5);
+    desk.all.set_ready_instances(desk.now, (0..2).map(|host| (host, 1.0, 0)));
+    assert_eq!(desk.all.reduction_factor(), 0.5);
     for _ in 0..60 {
         desk.pass(S / 4);
         desk.surge(&["c", "b"], 50);
@@ -355,7 +359,7 @@
 
 #[test]
 fn a_budget_used_up_leaves_what_it_earns_and_comes_back_with_a_tenth() {
-    let budget = Some(Budget { seconds: 600.0, per: 60 * S });
+    let budget = Some(Budget { seconds: 600.0, period: 60 * S });
     let north = Contract { budget, borrow: false, ..team("north", 40.0) };
     let mut desk = Desk::new(1, terms(100.0, [north, team("south", 60.0)]));
     assert_eq!(desk.flood("north", 100), 40);
@@ -367,11 +371,11 @@
     assert_eq!(desk.ask("north", WATCH).map_err(|no| no.reason), Err(Reason::Budget));
     // At ten it earns what it uses; with none it has a tenth, 60, back after 6 s.
     let calls: Vec<CallId> = desk.live.keys().cloned().collect();
-    calls.iter().for_each(|call| desk.end(call, End::Ended));
+    calls.iter().for_each(|call| desk.end(call, EndReason::Closed));
     desk.pass(5_900_000);
     assert_eq!(desk.flood("north", 100), 10);
     let calls: Vec<CallId> = desk.live.keys().cloned().collect();
-    calls.iter().for_each(|call| desk.end(call, End::Ended));
+    calls.iter().for_each(|call| desk.end(call, EndReason::Closed));
     desk.pass(200_000);
     assert_eq!(desk.flood("north", 100), 40);
 }
@@ -382,24 +386,24 @@
     let base = |n| terms(120.0, [strict("north", n), team("south", 40.0)]);
     let mut desk = Desk::new(1, base(40.0));
     assert_eq!(desk.flood("north", 100), 40);
-    let changes = desk.all.change(desk.now, base(20.0));
+    let changes = desk.all.apply_terms(desk.now, base(20.0));
     let told: Vec<String> =
         changes.iter().map(|c| format!("{} {} {} {}", c.team, c.key, c.before, c.after)).collect();
     assert_eq!(told, ["north connections 40 20"]);
     assert_eq!(desk.pass(2 * S), 20, "none is cut off, all are asked within 2 s");
     assert_eq!(desk.flood("north", 100), 0);
-    desk.all.change(desk.now, base(80.0));
+    desk.all.apply_terms(desk.now, base(80.0));
     assert_eq!((desk.flood("north", 100), desk.held("north")), (60, 80));
     // Removed: what it holds goes, and its clients are the others'.
-    desk.all.change(desk.now, terms(120.0, [team("south", 40.0)]));
+    desk.all.apply_terms(desk.now, terms(120.0, [team("south", 40.0)]));
     assert_eq!(desk.pass(4 * S), 80);
     assert!(desk.ask("north", WATCH).is_ok() && desk.held("others") == 1);
     // Added again: its account goes on.
-    desk.all.change(desk.now, base(40.0));
+    desk.all.apply_terms(desk.now, base(40.0));
     assert_eq!(desk.flood("north", 100), 40);
-    let account = desk.all.account(desk.now);
+    let account = desk.all.accounts(desk.now);
     let north = account.iter().find(|a| &*a.team == "north").expect("an account");
-    assert_eq!((north.ledger.moved, north.used), (100, desk.used("north")));
+    assert_eq!((north.ledger.moved, north.used_us), (100, desk.used("north")));
 }
 
 #[test]
@@ -411,9 +415,9 @@
     desk.flood("south", 10);
     let mut order = Vec::new();
     for _ in 0..200 {
-        for call in desk.all.turn(desk.now) {
+        for call in desk.all.run_due(desk.now) {
             order.push(call.clone());
-            desk.end(&call, End::Ended);
+            desk.end(&call, EndReason::Closed);
             desk.flood("south", 1);
         }
         desk.now += S / 10;
@@ -433,14 +437,14 @@
     let mut desk = Desk::new(1, terms(200.0, [north.clone(), team("south", 10.0)]));
     assert_eq!(desk.flood("north", 50), 5, "a burst");
     let no = desk.ask("north", WATCH).expect_err("the bucket is empty");
-    assert_eq!((no.reason, no.after), (Reason::Rate, Some(S / 10)));
+    assert_eq!((no.reason, no.retry_after), (Reason::Rate, Some(S / 10)));
     desk.pass(S / 10);
     assert!(desk.ask("north", WATCH).is_ok(), "it is worth coming when it was told to");
     assert_eq!(desk.ask("north", PAYOUT).map_err(|no| no.reason), Err(Reason::Class));
     // One that names no team is the one's whose contract alone names its class, else the others'.
     let named = |desk: &Desk, name, class| {
-        let team = desk.all.team(name, class);
-        desk.all.teams().nth(team).expect("a team").team.to_string()
+        let team = desk.all.resolve_team(name, class);
+        desk.all.team_contracts().nth(team).expect("a team").team.to_string()
     };
     assert_eq!(named(&desk, None, WATCH), "north");
     assert_eq!(
@@ -449,7 +453,7 @@
     );
     // A class that two teams share says nothing.
     let both = terms(200.0, [north, Contract { classes: watch, ..team("south", 10.0) }]);
-    desk.all.change(desk.now, both);
+    desk.all.apply_terms(desk.now, both);
     assert_eq!(named(&desk, None, WATCH), "others");
 }
 
@@ -457,27 +461,27 @@
 fn without_a_stated_capacity_it_is_learned_from_what_is_turned_away_and_shrinks_with_the_fleet() {
     let mut desk =
         Desk::new(1, Terms { capacity: None, ..terms(1.0, [team("north", 40.0), team("south", 40.0)]) });
-    desk.all.listed(desk.now, (0..4).map(|host| (host, 1.0, 0)));
+    desk.all.set_ready_instances(desk.now, (0..4).map(|host| (host, 1.0, 0)));
     assert_eq!(desk.flood("north", 100), 100, "nothing is known to bound it");
     let call = desk.ask("north", WATCH).expect("let in");
-    desk.end(&call, End::TurnedAway);
-    assert_eq!(desk.all.room().capacity(), 100);
+    desk.end(&call, EndReason::NoInstance);
+    assert_eq!(desk.all.pool().capacity(), 100);
     assert_eq!(desk.ask("north", WATCH).map_err(|no| no.reason), Err(Reason::Idle));
     assert_eq!(desk.ask("south", WATCH).map_err(|no| no.reason), Err(Reason::Reclaim));
     desk.pass(5 * S);
-    assert!((150..180).contains(&desk.all.room().capacity()), "{}", desk.all.room().capacity());
+    assert!((150..180).contains(&desk.all.pool().capacity()), "{}", desk.all.pool().capacity());
     // Three attempts in a row that nobody answers: that instance is down until it serves.
-    let before = desk.all.room().capacity();
-    (0..3).for_each(|_| desk.all.seen(desk.now, 2, false));
-    assert_eq!(desk.all.room().capacity(), (before as f64 * 0.75) as u64);
-    desk.all.seen(desk.now, 2, true);
-    assert_eq!(desk.all.room().capacity(), before);
+    let before = desk.all.pool().capacity();
+    (0..3).for_each(|_| desk.all.record_attempt(desk.now, 2, false));
+    assert_eq!(desk.all.pool().capacity(), (before as f64 * 0.75) as u64);
+    desk.all.record_attempt(desk.now, 2, true);
+    assert_eq!(desk.all.pool().capacity(), before);
 }
 
 #[test]
 fn figures_that_contradict_each_other_are_refused_with_key_and_mend() {
     let strict = Contract { borrow: false, ..team("a", 10.0) };
-    let budget = |seconds, per| Some(Budget { seconds, per });
+    let budget = |seconds, period| Some(Budget { seconds, period });
     let rate = |per_second, burst| Some(Rate { per_second, burst });
     let cases: Vec<(Contract, &str, &str)> = vec![
         (team("", 1.0), "name", "1 to 255"),
