--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -14,7 +14,7 @@
 use crate::contracts::{Contract, Contracts, EndReason, FixedSettings, Terms, TermsChange, Ticket};
 use crate::failover::evidence::Digest;
 use crate::failover::plan::Plan;
-use crate::rebalance::{self, Note, Rebalance, View};
+use crate::rebalance::{self, PlanEvent, Rebalancer, View};
 use crate::wire::Names;
 use crate::Brain;
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
     /// Contracts between teams; none where the operator wrote none.
     contracts: Option<Contracts>,
     /// Slow rebalancing; none where the operator wants none.
-    rebalance: Option<Rebalance>,
+    rebalance: Option<Rebalancer>,
     /// Until when this balancer may rebalance: in a group, for as long as its lease lasts; for ever without one.
     rebalance_until: RebalanceUntil,
     frame: FixedSettings,
@@ -380,7 +380,7 @@
     pub fn due(&mut self, now: Micros) -> Option<Micros> {
         let contracts = self.contracts.as_mut().and_then(|contracts| contracts.next_due(now));
         let rebalance = self.rebalance.as_ref().filter(|_| self.rebalance_until.allows(now));
-        contracts.into_iter().chain(rebalance.map(|r| r.due(now))).min()
+        contracts.into_iter().chain(rebalance.map(|r| r.next_due(now))).min()
     }
 
     /// Does what is due without an event.
@@ -391,25 +391,26 @@
         // One cause of moves at a time: what contracts want comes first.
         if let Some(rebalance) = self.rebalance.as_mut().filter(|_| self.rebalance_until.allows(now)) {
             if !actions.is_empty() {
-                rebalance.trouble(now, "contracts move connections");
+                rebalance.pause(now, "contracts move connections");
             }
             let brain = &self.brain;
-            let moves = rebalance.turn(now, || View { hosts: brain.hosts(now), strays: brain.strays() });
+            let moves =
+                rebalance.plan_moves(now, || View { hosts: brain.hosts(now), strays: brain.strays() });
             actions.extend(moves.into_iter().map(|call| Action::Move { call }));
         }
     }
 
     /// Rebalancing by these terms from now on, or none.
-    pub fn rebalance(&mut self, now: Micros, terms: Option<rebalance::Terms>) {
-        if self.rebalance.as_ref().map(Rebalance::terms) == terms.as_ref() {
+    pub fn rebalance(&mut self, now: Micros, terms: Option<rebalance::RebalanceSettings>) {
+        if self.rebalance.as_ref().map(Rebalancer::settings) == terms.as_ref() {
             return;
         }
         let FixedSettings { classes, balancers, .. } = &self.frame;
-        self.rebalance = terms.map(|terms| Rebalance::new(now, terms, classes, *balancers));
+        self.rebalance = terms.map(|terms| Rebalancer::new(now, terms, classes, *balancers));
         if let Some(rebalance) = &mut self.rebalance {
             // How long they have stood is not known: as if since now.
             let standing = self.books.iter().filter(|(_, book)| book.stands);
-            standing.for_each(|(call, _)| rebalance.stands(now, call));
+            standing.for_each(|(call, _)| rebalance.connection_established(now, call));
         }
     }
 
@@ -442,13 +443,13 @@
     /// Moves are made for another cause: rebalancing rests.
     pub fn rests(&mut self, now: Micros, cause: &'static str) {
         if let Some(rebalance) = &mut self.rebalance {
-            rebalance.trouble(now, cause);
+            rebalance.pause(now, cause);
         }
     }
 
     /// What the rebalancer has to tell.
-    pub fn notes(&mut self) -> Vec<Note> {
-        self.rebalance.as_mut().map(Rebalance::notes).unwrap_or_default()
+    pub fn notes(&mut self) -> Vec<PlanEvent> {
+        self.rebalance.as_mut().map(Rebalancer::take_events).unwrap_or_default()
     }
 
     /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
@@ -511,24 +512,26 @@
 }
 
 /// What of the events bears on rebalancing: who stands, and trouble, which makes it rest.
-fn watch(rebalance: &mut Rebalance, now: Micros, event: &Event) {
+fn watch(rebalance: &mut Rebalancer, now: Micros, event: &Event) {
     match event {
-        Event::Opened { call, .. } | Event::Adopted(Demand { call, .. }, _) => rebalance.stands(now, call),
-        Event::Vanished { call } => rebalance.over(call),
+        Event::Opened { call, .. } | Event::Adopted(Demand { call, .. }, _) => {
+            rebalance.connection_established(now, call)
+        }
+        Event::Vanished { call } => rebalance.connection_ended(call),
         Event::Finished { call, outcome, ended, .. } => {
             if *ended {
-                rebalance.over(call);
+                rebalance.connection_ended(call);
             }
             match outcome {
-                Outcome::ConnectFailed | Outcome::Reset => rebalance.trouble(now, "an instance failed"),
-                Outcome::Timeout => rebalance.trouble(now, "an instance did not answer"),
-                Outcome::Full => rebalance.trouble(now, "an instance turned a connection away"),
+                Outcome::ConnectFailed | Outcome::Reset => rebalance.pause(now, "an instance failed"),
+                Outcome::Timeout => rebalance.pause(now, "an instance did not answer"),
+                Outcome::Full => rebalance.pause(now, "an instance turned a connection away"),
                 Outcome::Ok | Outcome::Error | Outcome::Cancelled | Outcome::Moot => {}
             }
         }
-        Event::Members { kind: ListKind::Failed, .. } => rebalance.trouble(now, "discovery does not answer"),
+        Event::Members { kind: ListKind::Failed, .. } => rebalance.pause(now, "discovery does not answer"),
         Event::Members { hosts, .. } if hosts.iter().any(|e| e.state != HostState::Ready) => {
-            rebalance.trouble(now, "an instance drains or is gone");
+            rebalance.pause(now, "an instance drains or is gone");
         }
         _ => {}
     }
--- a/src/broker/core_tests.rs
+++ b/src/broker/core_tests.rs
@@ -138,7 +138,10 @@
 /// A core whose clients all stand away from home: their home started again and is warm, at 500 s.
 fn core_with_strays() -> Core {
     let mut core = core(3, &[]);
-    core.rebalance(S, Some(crate::rebalance::Terms { rate: 1_000.0, ..Default::default() }));
+    core.rebalance(
+        S,
+        Some(crate::rebalance::RebalanceSettings { moves_per_second: 1_000.0, ..Default::default() }),
+    );
     let entry = |host, state, ready_at| Entry { state, ready_at, ..Entry::ready(host) };
     let list = |state, ready_at| Event::Members {
         kind: ListKind::Full,
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -21,7 +21,7 @@
 use crate::contracts::{Contracts, Terms, TermsChange};
 use crate::failover::evidence::Digest;
 use crate::failover::plan::Plan;
-use crate::rebalance::Note;
+use crate::rebalance::PlanEvent;
 use crate::wire::Names;
 pub use command::{carry, carry_on, Command, SILENT};
 use core::Core;
@@ -377,9 +377,11 @@
                 state.core.turn(self.now(), &mut actions);
                 for note in state.core.notes() {
                     match note {
-                        Note::Begins(n, worst) => tracing::info!(n, worst, "rebalancing begins"),
-                        Note::Rests(cause) => tracing::info!(cause, "rebalancing rests"),
-                        Note::Ended(moved, worst) => tracing::info!(moved, worst, "rebalancing has ended"),
+                        PlanEvent::Started(n, worst) => tracing::info!(n, worst, "rebalancing begins"),
+                        PlanEvent::Paused(cause) => tracing::info!(cause, "rebalancing rests"),
+                        PlanEvent::Finished(moved, worst) => {
+                            tracing::info!(moved, worst, "rebalancing has ended")
+                        }
                     }
                 }
                 self.carry_out(state, actions);
@@ -401,7 +403,7 @@
     }
 
     /// Slow rebalancing by these terms from now on, or none.
-    pub fn rebalance(&self, terms: Option<crate::rebalance::Terms>) {
+    pub fn rebalance(&self, terms: Option<crate::rebalance::RebalanceSettings>) {
         let state = &mut *self.state.borrow_mut();
         state.core.rebalance(self.now(), terms);
         self.look(state);
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -34,7 +34,7 @@
     /// How often the account is written.
     pub every: Micros,
     /// Slow rebalancing; none where it is not wanted.
-    pub rebalance: Option<rebalance::Terms>,
+    pub rebalance: Option<rebalance::RebalanceSettings>,
     /// The second front, where it has an address.
     pub xmpp: Option<Xmpp>,
     /// The balancers that decide together, where there are any.
@@ -109,19 +109,29 @@
 }
 
 impl RebalanceTable {
-    fn terms(&self) -> Result<Option<rebalance::Terms>, (Range<usize>, String)> {
-        let usual = rebalance::Terms::default();
+    fn terms(&self) -> Result<Option<rebalance::RebalanceSettings>, (Range<usize>, String)> {
+        let usual = rebalance::RebalanceSettings::default();
         let figure =
             |told: &Option<Spanned<f64>>, usual: f64, good: &dyn Fn(f64) -> bool, text: &str| match told {
                 Some(v) if !good(*v.get_ref()) => Err((v.span(), text.to_string())),
                 told => Ok(told.as_ref().map_or(usual, |v| *v.get_ref())),
             };
         let positive = |v: f64| v.is_finite() && v > 0.0;
-        let terms = rebalance::Terms {
-            rate: figure(&self.rate, usual.rate, &positive, "rate must be more than 0 moves a second")?,
-            band: figure(&self.band, usual.band, &|v| (0.01..=1.0).contains(&v), "band must be 0.01 to 1")?,
-            young: self.young.map_or(usual.young, |span| span.0),
-            never: self.never.clone(),
+        let terms = rebalance::RebalanceSettings {
+            moves_per_second: figure(
+                &self.rate,
+                usual.moves_per_second,
+                &positive,
+                "rate must be more than 0 moves a second",
+            )?,
+            dead_band: figure(
+                &self.band,
+                usual.dead_band,
+                &|v| (0.01..=1.0).contains(&v),
+                "band must be 0.01 to 1",
+            )?,
+            min_age: self.young.map_or(usual.min_age, |span| span.0),
+            excluded_classes: self.never.clone(),
         };
         Ok(self.on.then_some(terms))
     }
@@ -330,7 +340,7 @@
     pub fn unknown_class(&self, known: impl Fn(&str) -> bool) -> Option<String> {
         let contracts = self.terms.iter().flat_map(|t| &t.contracts);
         let named = contracts.flat_map(|c| c.classes.iter().flatten().map(move |class| (&c.team, class)));
-        let never = self.rebalance.iter().flat_map(|r| &r.never).find(|class| !known(class));
+        let never = self.rebalance.iter().flat_map(|r| &r.excluded_classes).find(|class| !known(class));
         if let Some(class) = never {
             return Some(format!("rebalance.never names the class {class:?}, which the settings do not have: correct one of them"));
         }
--- a/src/rebalance/imbalance.rs
+++ b/src/rebalance/imbalance.rs
@@ -4,63 +4,65 @@
 use std::collections::BTreeMap;
 
 /// A home takes moves from this part of its warmth on; until then new connections alone fill it.
-const WARM: f64 = 0.6;
+const MIN_HOME_WARMTH: f64 = 0.6;
 
 /// A home counts as back for so long after its start. Others are under their share for reasons that moves do not
 /// mend: bounded load and ceilings send connections away from them, and would again.
-const BACK: Micros = 600_000_000;
+const RETURN_WINDOW_US: Micros = 600_000_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Side {
+struct ServerLoad {
     load: f64,
     size: f64,
-    able: bool,
+    accepts_moves: bool,
 }
 
 /// The loads of one balancer's servers beside their shares.
 #[derive(Clone, Debug)]
-pub struct Balance {
-    sides: BTreeMap<HostId, Side>,
+pub struct LoadBalance {
+    servers: BTreeMap<HostId, ServerLoad>,
     /// Load for each unit of size, over all that are able.
-    even: f64,
-    band: f64,
+    mean_load_per_size: f64,
+    dead_band: f64,
 }
 
-impl Balance {
+impl LoadBalance {
     /// Of these hosts. A size counts as much as its server is warm.
-    pub fn new(now: Micros, hosts: &[HostView], band: f64) -> Balance {
-        let back = |h: &HostView| h.ready_at > 0 && now < h.ready_at.saturating_add(BACK);
-        let side = |h: &HostView| Side {
+    pub fn new(now: Micros, hosts: &[HostView], dead_band: f64) -> LoadBalance {
+        let recently_started =
+            |h: &HostView| h.ready_at > 0 && now < h.ready_at.saturating_add(RETURN_WINDOW_US);
+        let server_load = |h: &HostView| ServerLoad {
             load: h.load,
             size: h.size * h.warmth,
-            able: h.takes && back(h) && h.warmth >= WARM,
+            accepts_moves: h.takes && recently_started(h) && h.warmth >= MIN_HOME_WARMTH,
         };
-        let sides: BTreeMap<HostId, Side> = hosts.iter().map(|h| (h.host, side(h))).collect();
-        let size: f64 = sides.values().map(|s| s.size).sum();
-        let load: f64 = sides.values().map(|s| s.load).sum();
-        Balance { sides, even: load / size.max(f64::MIN_POSITIVE), band }
+        let servers: BTreeMap<HostId, ServerLoad> = hosts.iter().map(|h| (h.host, server_load(h))).collect();
+        let size: f64 = servers.values().map(|s| s.size).sum();
+        let load: f64 = servers.values().map(|s| s.load).sum();
+        LoadBalance { servers, mean_load_per_size: load / size.max(f64::MIN_POSITIVE), dead_band }
     }
 
     /// The largest load over its share; 1 is even.
-    pub fn worst(&self) -> f64 {
-        let over = self.sides.values().filter(|s| s.size > 0.0).map(|s| s.load / s.size);
-        over.fold(0.0, f64::max) / self.even.max(f64::MIN_POSITIVE)
+    pub fn max_load_ratio(&self) -> f64 {
+        let over = self.servers.values().filter(|s| s.size > 0.0).map(|s| s.load / s.size);
+        over.fold(0.0, f64::max) / self.mean_load_per_size.max(f64::MIN_POSITIVE)
     }
 
     /// Whether a move of so much load from one to the other is wanted: the second is back and under its share by the
     /// band, the first is not under its own, and would be no lower than the second afterwards.
-    pub fn would(&self, from: HostId, to: HostId, load: f64) -> bool {
-        let (Some(a), Some(b)) = (self.sides.get(&from), self.sides.get(&to)) else { return false };
-        if from == to || !b.able || b.size <= 0.0 || a.size <= 0.0 {
+    pub fn move_helps(&self, from: HostId, to: HostId, load: f64) -> bool {
+        let (Some(a), Some(b)) = (self.servers.get(&from), self.servers.get(&to)) else { return false };
+        if from == to || !b.accepts_moves || b.size <= 0.0 || a.size <= 0.0 {
             return false;
         }
-        let under = b.load / b.size < self.even * (1.0 - self.band) && a.load / a.size >= self.even;
-        under && (a.load - load) / a.size >= (b.load + load) / b.size
+        let uneven = b.load / b.size < self.mean_load_per_size * (1.0 - self.dead_band)
+            && a.load / a.size >= self.mean_load_per_size;
+        uneven && (a.load - load) / a.size >= (b.load + load) / b.size
     }
 
     /// The move is made.
-    pub fn shift(&mut self, from: HostId, to: HostId, load: f64) {
-        self.sides.entry(from).and_modify(|s| s.load -= load);
-        self.sides.entry(to).and_modify(|s| s.load += load);
+    pub fn apply_move(&mut self, from: HostId, to: HostId, load: f64) {
+        self.servers.entry(from).and_modify(|s| s.load -= load);
+        self.servers.entry(to).and_modify(|s| s.load += load);
     }
 }
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -17,31 +17,36 @@
 pub mod pace;
 
 use crate::api::{CallId, HostView, Micros, Stray};
-use imbalance::Balance;
-use pace::Pace;
+use imbalance::LoadBalance;
+use pace::MovePace;
 use std::collections::BTreeMap;
 
 /// Between two looks at the books: they are gone through whole.
-const LOOK: Micros = 1_000_000;
+const CHECK_INTERVAL_US: Micros = 1_000_000;
 /// After trouble nothing is moved for so long.
-const REST: Micros = 5_000_000;
+const PAUSE_US: Micros = 5_000_000;
 
 /// What an operator wrote on rebalancing.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct RebalanceSettings {
     /// Most moves a second, of all balancers together.
-    pub rate: f64,
+    pub moves_per_second: f64,
     /// The dead band: how far under its share a home must be before anyone is moved there, as a part.
-    pub band: f64,
+    pub dead_band: f64,
     /// A connection is not moved before it has stood so long.
-    pub young: Micros,
+    pub min_age: Micros,
     /// Names of classes that are never moved.
-    pub never: Vec<String>,
+    pub excluded_classes: Vec<String>,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { rate: 6.0, band: 0.1, young: 10_000_000, never: Vec::new() }
+impl Default for RebalanceSettings {
+    fn default() -> RebalanceSettings {
+        RebalanceSettings {
+            moves_per_second: 6.0,
+            dead_band: 0.1,
+            min_age: 10_000_000,
+            excluded_classes: Vec::new(),
+        }
     }
 }
 
@@ -56,135 +61,144 @@
 
 /// What is worth telling the operator.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum PlanEvent {
     /// A plan begins: so many connections may move, at this imbalance (the largest load over its share).
-    Begins(usize, f64),
+    Started(usize, f64),
     /// It rests, for this cause.
-    Rests(&'static str),
+    Paused(&'static str),
     /// It has ended: so many were moved, at this imbalance.
-    Ended(u64, f64),
+    Finished(u64, f64),
 }
 
 /// The rebalancer of one balancer.
 #[derive(Debug)]
-pub struct Rebalance {
-    terms: Terms,
+pub struct Rebalancer {
+    settings: RebalanceSettings,
     /// The ranks of classes by worth, and those that are never moved.
-    ranks: Vec<u32>,
-    never: Vec<bool>,
-    pace: Pace,
-    since: BTreeMap<CallId, Micros>,
-    looked: Option<Micros>,
-    rests: Option<Micros>,
+    class_ranks: Vec<u32>,
+    excluded: Vec<bool>,
+    pace: MovePace,
+    established_at: BTreeMap<CallId, Micros>,
+    last_check: Option<Micros>,
+    paused_until: Option<Micros>,
     /// Moves of the plan that is under way.
-    plan: Option<u64>,
-    notes: Vec<Note>,
+    moved_in_plan: Option<u64>,
+    events: Vec<PlanEvent>,
 }
 
-impl Rebalance {
+impl Rebalancer {
     /// One for these classes (name and worth), of so many balancers.
-    pub fn new(now: Micros, terms: Terms, classes: &[(String, f64)], balancers: u32) -> Rebalance {
+    pub fn new(
+        now: Micros,
+        settings: RebalanceSettings,
+        classes: &[(String, f64)],
+        balancers: u32,
+    ) -> Rebalancer {
         let worths: Vec<f64> = classes.iter().map(|c| c.1).collect();
-        Rebalance {
-            ranks: crate::contracts::reclaim::ranks(&worths),
-            never: classes.iter().map(|(name, _)| terms.never.contains(name)).collect(),
-            pace: Pace::new(now, terms.rate / f64::from(balancers.max(1))),
-            terms,
-            since: BTreeMap::new(),
-            looked: None,
-            rests: None,
-            plan: None,
-            notes: Vec::new(),
+        Rebalancer {
+            class_ranks: crate::contracts::reclaim::ranks(&worths),
+            excluded: classes.iter().map(|(name, _)| settings.excluded_classes.contains(name)).collect(),
+            pace: MovePace::new(now, settings.moves_per_second / f64::from(balancers.max(1))),
+            settings,
+            established_at: BTreeMap::new(),
+            last_check: None,
+            paused_until: None,
+            moved_in_plan: None,
+            events: Vec::new(),
         }
     }
 
     /// The terms in force.
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    pub fn settings(&self) -> &RebalanceSettings {
+        &self.settings
     }
 
     /// A connection stands.
-    pub fn stands(&mut self, now: Micros, call: &CallId) {
-        self.since.insert(call.clone(), now);
+    pub fn connection_established(&mut self, now: Micros, call: &CallId) {
+        self.established_at.insert(call.clone(), now);
     }
 
     /// It is over.
-    pub fn over(&mut self, call: &CallId) {
-        self.since.remove(call);
+    pub fn connection_ended(&mut self, call: &CallId) {
+        self.established_at.remove(call);
     }
 
     /// Something went wrong, or moves are made for another cause: nothing is moved for a while.
-    pub fn trouble(&mut self, now: Micros, cause: &'static str) {
-        let resting = self.rests.is_some_and(|until| now < until);
-        self.rests = Some(now.saturating_add(REST));
-        if !resting {
-            self.pace.slower(now);
-            if self.plan.is_some() {
-                self.notes.push(Note::Rests(cause));
+    pub fn pause(&mut self, now: Micros, cause: &'static str) {
+        let already_paused = self.paused_until.is_some_and(|until| now < until);
+        self.paused_until = Some(now.saturating_add(PAUSE_US));
+        if !already_paused {
+            self.pace.slow_down(now);
+            if self.moved_in_plan.is_some() {
+                self.events.push(PlanEvent::Paused(cause));
             }
         }
     }
 
     /// When [`Rebalance::turn`] is wanted next.
-    pub fn due(&self, now: Micros) -> Micros {
-        let look = self.looked.map_or(now, |at| at.saturating_add(LOOK));
-        look.max(self.rests.unwrap_or(0))
+    pub fn next_due(&self, now: Micros) -> Micros {
+        let next_check = self.last_check.map_or(now, |at| at.saturating_add(CHECK_INTERVAL_US));
+        next_check.max(self.paused_until.unwrap_or(0))
     }
 
     /// What is to be told since it was last asked.
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<PlanEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Looks at the books, if it is time: who is to be asked to come again now.
-    pub fn turn(&mut self, now: Micros, view: impl FnOnce() -> View) -> Vec<CallId> {
-        if now < self.due(now) {
+    pub fn plan_moves(&mut self, now: Micros, view: impl FnOnce() -> View) -> Vec<CallId> {
+        if now < self.next_due(now) {
             return Vec::new();
         }
-        self.looked = Some(now);
-        self.rests = None;
+        self.last_check = Some(now);
+        self.paused_until = None;
         let view = view();
-        let mut balance = Balance::new(now, &view.hosts, self.terms.band);
-        let before = balance.worst();
-        let mut order: Vec<&Stray> = view
+        let mut balance = LoadBalance::new(now, &view.hosts, self.settings.dead_band);
+        let load_ratio = balance.max_load_ratio();
+        let mut candidates: Vec<&Stray> = view
             .strays
             .iter()
-            .filter(|s| !self.never.get(s.class).copied().unwrap_or(false))
-            .filter(|s| self.since.get(&s.call).is_some_and(|&at| now >= at.saturating_add(self.terms.young)))
-            .filter(|s| balance.would(s.at, s.home, s.load))
+            .filter(|s| !self.excluded.get(s.class).copied().unwrap_or(false))
+            .filter(|s| {
+                self.established_at
+                    .get(&s.call)
+                    .is_some_and(|&at| now >= at.saturating_add(self.settings.min_age))
+            })
+            .filter(|s| balance.move_helps(s.at, s.home, s.load))
             .collect();
         // Worth least first, then group by group; of one group the light ones first.
-        let rank = |s: &Stray| self.ranks.get(s.class).copied().unwrap_or(0);
-        order.sort_by(|a, b| {
+        let rank = |s: &Stray| self.class_ranks.get(s.class).copied().unwrap_or(0);
+        candidates.sort_by(|a, b| {
             (rank(a), a.at, a.point)
                 .cmp(&(rank(b), b.at, b.point))
                 .then(a.load.total_cmp(&b.load))
                 .then(a.call.cmp(&b.call))
         });
-        if order.is_empty() {
-            self.pace.faster(now);
-            if let Some(moved) = self.plan.take() {
-                self.notes.push(Note::Ended(moved, before));
+        if candidates.is_empty() {
+            self.pace.speed_up(now);
+            if let Some(moved) = self.moved_in_plan.take() {
+                self.events.push(PlanEvent::Finished(moved, load_ratio));
             }
             return Vec::new();
         }
-        if self.plan.is_none() {
-            self.plan = Some(0);
-            self.notes.push(Note::Begins(order.len(), before));
+        if self.moved_in_plan.is_none() {
+            self.moved_in_plan = Some(0);
+            self.events.push(PlanEvent::Started(candidates.len(), load_ratio));
         }
         let mut moves = Vec::new();
-        for stray in order {
-            if !balance.would(stray.at, stray.home, stray.load) {
+        for stray in candidates {
+            if !balance.move_helps(stray.at, stray.home, stray.load) {
                 continue;
             }
-            if !self.pace.go(now, stray.home) {
+            if !self.pace.try_take(now, stray.home) {
                 continue;
             }
-            balance.shift(stray.at, stray.home, stray.load);
+            balance.apply_move(stray.at, stray.home, stray.load);
             moves.push(stray.call.clone());
         }
-        self.pace.faster(now);
-        if let Some(moved) = &mut self.plan {
+        self.pace.speed_up(now);
+        if let Some(moved) = &mut self.moved_in_plan {
             *moved += moves.len() as u64;
         }
         moves
--- a/src/rebalance/pace.rs
+++ b/src/rebalance/pace.rs
@@ -7,59 +7,59 @@
 use std::collections::BTreeMap;
 
 /// One home takes at most this part of all moves: a server that has just warmed up is filled slowly.
-const HOME: f64 = 0.2;
+const MAX_PART_PER_HOME: f64 = 0.2;
 /// What a quiet look adds to the factor, and the least that trouble leaves.
-const STEP: f64 = 0.05;
-const LEAST: f64 = 0.1;
+const FACTOR_STEP: f64 = 0.05;
+const MIN_FACTOR: f64 = 0.1;
 
 /// The pace of one balancer.
 #[derive(Debug)]
-pub struct Pace {
-    rate: f64,
+pub struct MovePace {
+    moves_per_second: f64,
     factor: f64,
-    all: Tokens,
-    homes: BTreeMap<HostId, Tokens>,
+    total: Tokens,
+    by_home: BTreeMap<HostId, Tokens>,
 }
 
-fn rate(per_second: f64) -> Rate {
+fn bucket_rate(per_second: f64) -> Rate {
     // A second's worth at once: looks come once a second.
     Rate { per_second, burst: per_second.max(1.0) }
 }
 
-impl Pace {
+impl MovePace {
     /// So many moves a second at most. It begins slowly.
-    pub fn new(now: Micros, per_second: f64) -> Pace {
-        let factor = LEAST;
-        let all = Tokens::new(now, rate(per_second * factor));
-        Pace { rate: per_second, factor, all, homes: BTreeMap::new() }
+    pub fn new(now: Micros, per_second: f64) -> MovePace {
+        let factor = MIN_FACTOR;
+        let total = Tokens::new(now, bucket_rate(per_second * factor));
+        MovePace { moves_per_second: per_second, factor, total, by_home: BTreeMap::new() }
     }
 
     /// Trouble.
-    pub fn slower(&mut self, now: Micros) {
-        self.set(now, (self.factor / 2.0).max(LEAST));
+    pub fn slow_down(&mut self, now: Micros) {
+        self.set_factor(now, (self.factor / 2.0).max(MIN_FACTOR));
     }
 
     /// A look without trouble.
-    pub fn faster(&mut self, now: Micros) {
-        self.set(now, (self.factor + STEP).min(1.0));
+    pub fn speed_up(&mut self, now: Micros) {
+        self.set_factor(now, (self.factor + FACTOR_STEP).min(1.0));
     }
 
-    fn set(&mut self, now: Micros, factor: f64) {
+    fn set_factor(&mut self, now: Micros, factor: f64) {
         self.factor = factor;
-        self.all.changed(now, rate(self.rate * factor));
-        let home = rate(self.rate * factor * HOME);
-        self.homes.values_mut().for_each(|tokens| tokens.changed(now, home));
+        self.total.changed(now, bucket_rate(self.moves_per_second * factor));
+        let home = bucket_rate(self.moves_per_second * factor * MAX_PART_PER_HOME);
+        self.by_home.values_mut().for_each(|tokens| tokens.changed(now, home));
     }
 
     /// Whether a move to this home may go now; it is counted.
-    pub fn go(&mut self, now: Micros, home: HostId) -> bool {
-        let own = rate(self.rate * self.factor * HOME);
-        let tokens = self.homes.entry(home).or_insert_with(|| Tokens::new(now, own));
-        let there = self.all.there(now) && tokens.there(now);
-        if there {
-            self.all.take(now);
+    pub fn try_take(&mut self, now: Micros, home: HostId) -> bool {
+        let own = bucket_rate(self.moves_per_second * self.factor * MAX_PART_PER_HOME);
+        let tokens = self.by_home.entry(home).or_insert_with(|| Tokens::new(now, own));
+        let available = self.total.there(now) && tokens.there(now);
+        if available {
+            self.total.take(now);
             tokens.take(now);
         }
-        there
+        available
     }
 }
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -1,8 +1,8 @@
 //! Slow rebalancing: its laws over random fleets, and the story with the program itself.
 
 mod peers;
-use oakdeal::rebalance::imbalance::Balance;
-use oakdeal::rebalance::{Note, Rebalance, Terms, View};
+use oakdeal::rebalance::imbalance::LoadBalance;
+use oakdeal::rebalance::{PlanEvent, RebalanceSettings, Rebalancer, View};
 use oakdeal::{CallId, HostView, Micros, Stray};
 use peers::*;
 use proptest::prelude::*;
@@ -88,16 +88,16 @@
 
     #[test]
     fn a_plan_ends_never_makes_it_worse_and_keeps_its_pace(mut fleet in fleet(), rate in 1.0..20.0f64) {
-        let terms = Terms { rate, young: 0, ..Terms::default() };
-        let mut plan = Rebalance::new(START, terms, &classes(), 1);
-        fleet.strays.iter().for_each(|s| plan.stands(START, &s.call));
+        let terms = RebalanceSettings { moves_per_second: rate, min_age: 0, ..RebalanceSettings::default() };
+        let mut plan = Rebalancer::new(START, terms, &classes(), 1);
+        fleet.strays.iter().for_each(|s| plan.connection_established(START, &s.call));
         let (mut now, mut times, mut quiet) = (START, Vec::new(), 0);
         let before = fleet.strays.len();
         while quiet < 60 {
             let view = fleet.view();
-            let balance = Balance::new(now, &view.hosts, 0.1);
-            let worst = balance.worst();
-            let moves = plan.turn(now, || view);
+            let balance = LoadBalance::new(now, &view.hosts, 0.1);
+            let worst = balance.max_load_ratio();
+            let moves = plan.plan_moves(now, || view);
             quiet = if moves.is_empty() { quiet + 1 } else { 0 };
             for call in moves {
                 times.push(now);
@@ -105,9 +105,9 @@
                 let home = fleet.hosts.iter().find(|h| h.host == stray.home).expect("a host");
                 prop_assert!(home.ready_at > 0, "moved to one that was never away");
             }
-            let after = Balance::new(now, &fleet.view().hosts, 0.1).worst();
+            let after = LoadBalance::new(now, &fleet.view().hosts, 0.1).max_load_ratio();
             prop_assert!(after <= worst + 1e-9, "from {worst} to {after}");
-            now = plan.due(now);
+            now = plan.next_due(now);
             prop_assert!(times.len() <= before, "more moves than connections: it does not end");
         }
         // In any ten seconds no more than the pace allows, and a second's worth at once.
@@ -140,45 +140,55 @@
         stray("c1", 11, 0, 8.0),
     ];
     let mut fleet = back(strays);
-    let mut plan = Rebalance::new(START, Terms { rate: 100.0, ..Terms::default() }, &classes(), 1);
-    fleet.strays.iter().for_each(|s| plan.stands(START, &s.call));
-    plan.stands(START + 9 * S, &"young".into());
+    let mut plan = Rebalancer::new(
+        START,
+        RebalanceSettings { moves_per_second: 100.0, ..RebalanceSettings::default() },
+        &classes(),
+        1,
+    );
+    fleet.strays.iter().for_each(|s| plan.connection_established(START, &s.call));
+    plan.connection_established(START + 9 * S, &"young".into());
     let (mut now, mut order) = (START + 10 * S, Vec::new());
     while now < START + 18 * S {
-        for call in plan.turn(now, || fleet.view()) {
+        for call in plan.plan_moves(now, || fleet.view()) {
             order.push(call.0.to_string());
             fleet.home(&call);
         }
-        now = plan.due(now);
+        now = plan.next_due(now);
     }
     assert_eq!(order, ["a1", "a2", "b1", "b2", "pay"], "what would tip it over stays too");
-    assert!(matches!(plan.notes()[..], [Note::Begins(5, _), Note::Ended(5, _)]));
+    assert!(matches!(plan.take_events()[..], [PlanEvent::Started(5, _), PlanEvent::Finished(5, _)]));
 }
 
 /// Guards against moves into a new failure, and against all of them at once after it.
 #[test]
 fn trouble_stops_it_at_once_and_it_begins_again_slowly() {
     let mut fleet = back((0..400).map(|i| stray(&format!("{i:04}"), i, 0, 1.0)).collect());
-    let mut plan = Rebalance::new(START, Terms { rate: 100.0, young: 0, ..Terms::default() }, &classes(), 1);
-    fleet.strays.iter().for_each(|s| plan.stands(START, &s.call));
+    let mut plan = Rebalancer::new(
+        START,
+        RebalanceSettings { moves_per_second: 100.0, min_age: 0, ..RebalanceSettings::default() },
+        &classes(),
+        1,
+    );
+    fleet.strays.iter().for_each(|s| plan.connection_established(START, &s.call));
     let (mut now, mut moved) = (START, BTreeMap::new());
     for _ in 0..12 {
-        let moves = plan.turn(now, || fleet.view());
+        let moves = plan.plan_moves(now, || fleet.view());
         moved.insert(now, moves.len());
         moves.iter().for_each(|call| drop(fleet.home(call)));
-        now = plan.due(now);
+        now = plan.next_due(now);
         if moved.len() == 6 {
-            plan.trouble(now, "an instance failed");
-            assert!(plan.turn(now, || fleet.view()).is_empty());
-            now = plan.due(now);
+            plan.pause(now, "an instance failed");
+            assert!(plan.plan_moves(now, || fleet.view()).is_empty());
+            now = plan.next_due(now);
         }
     }
     let moved: Vec<(Micros, usize)> = moved.into_iter().collect();
     assert!(moved.windows(2).take(5).all(|two| two[0].1 <= two[1].1), "slowly at first: {moved:?}");
     assert_eq!(moved[6].0 - moved[5].0, 6 * S, "a second's look and five of rest: {moved:?}");
     assert!(moved[6].1 < moved[5].1 + 1 && moved[6].1 > 0, "slower after it: {moved:?}");
-    let notes = plan.notes();
-    assert!(notes.contains(&Note::Rests("an instance failed")), "{notes:?}");
+    let notes = plan.take_events();
+    assert!(notes.contains(&PlanEvent::Paused("an instance failed")), "{notes:?}");
 }
 
 /// With the program: of two servers one leaves and comes back; with rebalancing on its connections go home, each
