--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -11,10 +11,10 @@
 use super::zones::{BalancerContext, CommandIdentity, ZoneRouter};
 use crate::api::*;
 use crate::contracts::ledger::Reason;
-use crate::contracts::{Change, Contract, Contracts, End, Frame, Terms, Ticket};
+use crate::contracts::{Contract, Contracts, EndReason, FixedSettings, Terms, TermsChange, Ticket};
 use crate::failover::evidence::Digest;
 use crate::failover::plan::Plan;
-use crate::rebalance::{self, Note, Rebalance, View};
+use crate::rebalance::{self, PlanEvent, Rebalancer, View};
 use crate::wire::Names;
 use crate::PlacementPolicy;
 use std::collections::BTreeMap;
@@ -89,10 +89,10 @@
     /// Contracts between teams; none where the operator wrote none.
     contracts: Option<Contracts>,
     /// Slow rebalancing; none where the operator wants none.
-    rebalance: Option<Rebalance>,
+    rebalance: Option<Rebalancer>,
     /// Until when this balancer may rebalance: in a group, for as long as its lease lasts; for ever without one.
     rebalance_until: RebalanceUntil,
-    frame: Frame,
+    frame: FixedSettings,
     /// The platform's own tenants, by name; the teams come behind them, by their number.
     projects: Vec<String>,
     tenants: Vec<Tenant>,
@@ -111,10 +111,10 @@
     pub fn new(settings: Settings, names: &Names, seed: u64) -> Result<Core, SettingsError> {
         let worths = settings.classes.iter().map(|c| c.worth);
         Ok(Core {
-            frame: Frame {
+            frame: FixedSettings {
                 classes: names.classes().iter().cloned().zip(worths).collect(),
                 balancers: settings.peers_total,
-                longest: settings.limits.max_retry_after,
+                max_retry_after: settings.limits.max_retry_after,
             },
             projects: names.tenants().to_vec(),
             tenants: settings.tenants.clone(),
@@ -134,11 +134,11 @@
         demand.tenant = team.and_then(|name| self.projects.iter().position(|p| p == name));
         let mut ticket = None;
         if let Some(contracts) = &mut self.contracts {
-            let id = contracts.team(team, demand.class);
+            let id = contracts.resolve_team(team, demand.class);
             demand.tenant = Some(self.projects.len() + id);
-            match contracts.ask(now, id, demand.class, &demand.call) {
+            match contracts.request_admission(now, id, demand.class, &demand.call) {
                 Ok(taken) => ticket = Some(taken),
-                Err(no) => return Err(Refused { after: no.after, reason: no.reason }),
+                Err(no) => return Err(Refused { after: no.retry_after, reason: no.reason }),
             }
         }
         if let Some(most) = demand.tenant.and_then(|t| self.tenants.get(t)).and_then(|t| t.deadline) {
@@ -150,7 +150,7 @@
                 Ok(chosen) => demand.zones = chosen,
                 Err(after) => {
                     if let Some((ticket, contracts)) = book.ticket.zip(self.contracts.as_mut()) {
-                        contracts.over(now, ticket, End::TurnedAway);
+                        contracts.release(now, ticket, EndReason::NoInstance);
                     }
                     return Err(Refused { after, reason: Reason::Placement });
                 }
@@ -162,7 +162,7 @@
 
     /// One that was let in is not begun after all.
     pub fn withdraw(&mut self, now: Micros, call: &CallId) {
-        self.release(now, call, End::Lost);
+        self.release(now, call, EndReason::NotEstablished);
     }
 
     /// Takes in a connection that stands already.
@@ -176,7 +176,7 @@
         demand.tenant = team.and_then(|name| self.projects.iter().position(|p| p == name));
         let projects = self.projects.len();
         let ticket = self.contracts.as_mut().map(|contracts| {
-            let id = contracts.team(team, demand.class);
+            let id = contracts.resolve_team(team, demand.class);
             demand.tenant = Some(projects + id);
             contracts.adopt(now, id, demand.class, &demand.call)
         });
@@ -250,7 +250,7 @@
                         book.slot.iter_mut().for_each(|slot| zones.establish(slot));
                     }
                     if let Some((ticket, contracts)) = book.ticket.as_ref().zip(self.contracts.as_mut()) {
-                        contracts.stands(ticket);
+                        contracts.mark_established(ticket);
                     }
                 }
             }
@@ -269,14 +269,18 @@
                     self.seen(now, *host, false);
                 }
                 if *ended {
-                    self.release(now, call, if stands { End::Ended } else { End::Lost });
+                    self.release(
+                        now,
+                        call,
+                        if stands { EndReason::Closed } else { EndReason::NotEstablished },
+                    );
                 } else {
                     self.vacate(call);
                 }
             }
             Event::Vanished { call } => {
                 let stands = self.books.get(call).is_some_and(|book| book.stands);
-                self.release(now, call, if stands { End::Ended } else { End::Lost });
+                self.release(now, call, if stands { EndReason::Closed } else { EndReason::NotEstablished });
             }
             Event::Probed { host, outcome, .. } => {
                 if let Some(zones) = &mut self.zones {
@@ -322,8 +326,8 @@
         }
         match action {
             Action::Send { call, host, .. } => self.occupy(call, *host),
-            Action::Refuse { call, .. } => self.release(now, call, End::TurnedAway),
-            Action::Fail { call } => self.release(now, call, End::Lost),
+            Action::Refuse { call, .. } => self.release(now, call, EndReason::NoInstance),
+            Action::Fail { call } => self.release(now, call, EndReason::NotEstablished),
             _ => {}
         }
     }
@@ -340,11 +344,11 @@
         book.slot.take().into_iter().for_each(|slot| zones.release(slot));
     }
 
-    fn release(&mut self, now: Micros, call: &CallId, end: End) {
+    fn release(&mut self, now: Micros, call: &CallId, end: EndReason) {
         self.vacate(call);
         let ticket = self.books.remove(call).and_then(|book| book.ticket);
         if let Some((ticket, contracts)) = ticket.zip(self.contracts.as_mut()) {
-            contracts.over(now, ticket, end);
+            contracts.release(now, ticket, end);
         }
     }
 
@@ -360,52 +364,54 @@
             };
         }
         if let Some(contracts) = &mut self.contracts {
-            contracts.listed(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
+            contracts
+                .set_ready_instances(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
         }
     }
 
     /// An attempt that nobody answers, or one that is served, tells whether its instance is there.
     fn seen(&mut self, now: Micros, host: HostId, served: bool) {
         if let Some(contracts) = &mut self.contracts {
-            contracts.seen(now, host, served);
+            contracts.record_attempt(now, host, served);
         }
     }
 
     /// When [`Core::turn`] is to be called next, if nothing happens before.
     pub fn due(&mut self, now: Micros) -> Option<Micros> {
-        let contracts = self.contracts.as_mut().and_then(|contracts| contracts.due(now));
+        let contracts = self.contracts.as_mut().and_then(|contracts| contracts.next_due(now));
         let rebalance = self.rebalance.as_ref().filter(|_| self.rebalance_until.allows(now));
-        contracts.into_iter().chain(rebalance.map(|r| r.due(now))).min()
+        contracts.into_iter().chain(rebalance.map(|r| r.next_due(now))).min()
     }
 
     /// Does what is due without an event.
     pub fn turn(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if let Some(contracts) = &mut self.contracts {
-            actions.extend(contracts.turn(now).into_iter().map(|call| Action::Move { call }));
+            actions.extend(contracts.run_due(now).into_iter().map(|call| Action::Move { call }));
         }
         // One cause of moves at a time: what contracts want comes first.
         if let Some(rebalance) = self.rebalance.as_mut().filter(|_| self.rebalance_until.allows(now)) {
             if !actions.is_empty() {
-                rebalance.trouble(now, "contracts move connections");
+                rebalance.pause(now, "contracts move connections");
             }
             let policy = &self.policy;
-            let moves = rebalance
-                .turn(now, || View { hosts: policy.hosts(now), strays: policy.misplaced_connections() });
+            let moves =
+                rebalance
+                .plan_moves(now, || View { hosts: policy.hosts(now), strays: policy.misplaced_connections() });
             actions.extend(moves.into_iter().map(|call| Action::Move { call }));
         }
     }
 
     /// Rebalancing by these terms from now on, or none.
-    pub fn rebalance(&mut self, now: Micros, terms: Option<rebalance::Terms>) {
-        if self.rebalance.as_ref().map(Rebalance::terms) == terms.as_ref() {
+    pub fn rebalance(&mut self, now: Micros, terms: Option<rebalance::RebalanceSettings>) {
+        if self.rebalance.as_ref().map(Rebalancer::settings) == terms.as_ref() {
             return;
         }
-        let Frame { classes, balancers, .. } = &self.frame;
-        self.rebalance = terms.map(|terms| Rebalance::new(now, terms, classes, *balancers));
+        let FixedSettings { classes, balancers, .. } = &self.frame;
+        self.rebalance = terms.map(|terms| Rebalancer::new(now, terms, classes, *balancers));
         if let Some(rebalance) = &mut self.rebalance {
             // How long they have stood is not known: as if since now.
             let standing = self.books.iter().filter(|(_, book)| book.stands);
-            standing.for_each(|(call, _)| rebalance.stands(now, call));
+            standing.for_each(|(call, _)| rebalance.connection_established(now, call));
         }
     }
 
@@ -438,29 +444,30 @@
     /// Moves are made for another cause: rebalancing rests.
     pub fn rests(&mut self, now: Micros, cause: &'static str) {
         if let Some(rebalance) = &mut self.rebalance {
-            rebalance.trouble(now, cause);
+            rebalance.pause(now, cause);
         }
     }
 
     /// What the rebalancer has to tell.
-    pub fn notes(&mut self) -> Vec<Note> {
-        self.rebalance.as_mut().map(Rebalance::notes).unwrap_or_default()
+    pub fn notes(&mut self) -> Vec<PlanEvent> {
+        self.rebalance.as_mut().map(Rebalancer::take_events).unwrap_or_default()
     }
 
     /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
-    pub fn contract(&mut self, now: Micros, terms: Option<Terms>) -> Vec<Change> {
+    pub fn contract(&mut self, now: Micros, terms: Option<Terms>) -> Vec<TermsChange> {
         let changes = match (&mut self.contracts, terms) {
-            (Some(contracts), Some(terms)) => contracts.change(now, terms),
+            (Some(contracts), Some(terms)) => contracts.apply_terms(now, terms),
             (None, Some(terms)) => {
                 let mut contracts = Contracts::new(now, self.frame.clone(), Terms::default());
-                contracts.listed(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
-                let changes = contracts.change(now, terms);
+                contracts
+                    .set_ready_instances(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
+                let changes = contracts.apply_terms(now, terms);
                 // What is in hand counts from now on; where it was asked for is past.
                 for (call, book) in &mut self.books {
-                    let team = contracts.team(book.team.as_deref(), book.class);
-                    let ticket = contracts.take_over(now, team, book.class, call);
+                    let team = contracts.resolve_team(book.team.as_deref(), book.class);
+                    let ticket = contracts.count_existing(now, team, book.class, call);
                     if book.stands {
-                        contracts.stands(&ticket);
+                        contracts.mark_established(&ticket);
                     }
                     book.ticket = Some(ticket);
                 }
@@ -468,7 +475,7 @@
                 changes
             }
             (Some(contracts), None) => {
-                let changes = contracts.change(now, Terms::default());
+                let changes = contracts.apply_terms(now, Terms::default());
                 self.contracts = None;
                 self.books.values_mut().for_each(|book| book.ticket = None);
                 changes
@@ -476,7 +483,7 @@
             (None, None) => return Vec::new(),
         };
         self.tenants.truncate(self.projects.len());
-        let teams = self.contracts.iter().flat_map(Contracts::teams);
+        let teams = self.contracts.iter().flat_map(Contracts::team_contracts);
         self.tenants.extend(teams.map(|c| tenant(c, self.frame.balancers)));
         let mut actions = Vec::new();
         self.policy.handle(now, Event::Tenants(self.tenants.clone()), &mut actions);
@@ -506,24 +513,26 @@
 }
 
 /// What of the events bears on rebalancing: who stands, and trouble, which makes it rest.
-fn watch(rebalance: &mut Rebalance, now: Micros, event: &Event) {
+fn watch(rebalance: &mut Rebalancer, now: Micros, event: &Event) {
     match event {
-        Event::Opened { call, .. } | Event::Adopted(Demand { call, .. }, _) => rebalance.stands(now, call),
-        Event::Vanished { call } => rebalance.over(call),
+        Event::Opened { call, .. } | Event::Adopted(Demand { call, .. }, _) => {
+            rebalance.connection_established(now, call)
+        }
+        Event::Vanished { call } => rebalance.connection_ended(call),
         Event::Finished { call, outcome, ended, .. } => {
             if *ended {
-                rebalance.over(call);
+                rebalance.connection_ended(call);
             }
             match outcome {
-                Outcome::ConnectFailed | Outcome::Reset => rebalance.trouble(now, "an instance failed"),
-                Outcome::Timeout => rebalance.trouble(now, "an instance did not answer"),
-                Outcome::Full => rebalance.trouble(now, "an instance turned a connection away"),
+                Outcome::ConnectFailed | Outcome::Reset => rebalance.pause(now, "an instance failed"),
+                Outcome::Timeout => rebalance.pause(now, "an instance did not answer"),
+                Outcome::Full => rebalance.pause(now, "an instance turned a connection away"),
                 Outcome::Ok | Outcome::Error | Outcome::Cancelled | Outcome::Moot => {}
             }
         }
-        Event::Members { kind: ListKind::Failed, .. } => rebalance.trouble(now, "discovery does not answer"),
+        Event::Members { kind: ListKind::Failed, .. } => rebalance.pause(now, "discovery does not answer"),
         Event::Members { hosts, .. } if hosts.iter().any(|e| e.state != HostState::Ready) => {
-            rebalance.trouble(now, "an instance drains or is gone");
+            rebalance.pause(now, "an instance drains or is gone");
         }
         _ => {}
     }
