--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,123 +1,177 @@
-//! Every decision of a node. Interface (settings, events, actions, ids): `src/api.rs`.
+//! The placement policy: decides for one balancing node where each request is sent, when it is retried,
+//! refused or failed, and which standing connections are moved. Interface (settings, events, actions, ids):
+//! `src/api.rs`.
 //!
-//! Ordinary placement: the group key (or its piece, if the group is too large for one arc), else the client
-//! key, else the request's id is hashed to a circle and the first point clockwise names the server
-//! (docs/DESIGN.md). All else is a reason to walk on clockwise or to turn away: the rules (`may_send`, the
-//! retry budget), dear crossings (`walk`), cold hosts (`cold_room`), bounded load and ceilings (`choose`),
-//! ejection (`failed`), doubt (`dropped`, `doubtful`), and moves off what is overloaded (`shed`).
-//! `Call::turn`, `group_cost`, `pieces` and `sparse` keep what hundreds of nodes do together in measure.
+//! Ordinary placement: the group key (or that of its piece, if the group is too large for one arc), else the
+//! client key, else the request's id is hashed to a ring, and the first point clockwise names the server
+//! (docs/DESIGN.md). Everything else is a reason to try the next server clockwise or to refuse: the rules on
+//! attempts (`may_attempt`, the retry budget), expensive zone crossings (`candidates`), cold hosts
+//! (`cold_host_admits`), bounded load and ceilings (`choose_host`), ejection of failing hosts
+//! (`record_failure`), probes of hosts in doubt (`mark_unlisted`, `needs_probe`), and moves off overloaded
+//! hosts (`move_excess`). `Call::admission_rank`, `group_cost`, `piece_count` and `hidden_share` bound the
+//! combined effect of hundreds of nodes that decide independently.
+//!
+//! Guarantees: the same events with the same seed give the same actions; nodes with the same list hash a key
+//! to the same point; an attempt that may have run is repeated only where its class allows it; the attempt
+//! limits and the retry budgets hold. Not guaranteed: equal load on the servers, or that two nodes choose the
+//! same server, because each node decides from its own view of load and failures.
 
 use crate::api::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::BuildHasherDefault;
 use xxhash_rust::xxh64::{xxh64, Xxh64};
 
-/// Seed of the circle, the same at every node for ever: changing it moves every key.
-const CIRCLE: u64 = 0x6569_6465_7268_6561;
-/// Points of a server: arcs sum to an even share within a tenth (one over the root of m; thesis, 2.2.3).
-const POINTS: u64 = 100;
-/// Segments that the circle is kept in: some hundred servers then have about a hundred points in each.
-const SEGMENTS: usize = 256;
-/// A server's capacity beside the even share that it is asked to carry.
-const HEADROOM: f64 = 1.75;
-/// Part of the steady traffic on its arcs that a cold host is let in, times `overload_factor` and its warmth.
-const STEADY: f64 = 0.35;
-/// Part of a cold host's allowance that nodes which see little use together, and that few nodes use; over 1,
-/// for the rule allows for chance besides. And the assumed life of a connection, in microseconds.
-const SAFE: (f64, f64) = (1.4, 1.6);
-const LIFE: f64 = 60e6;
-/// Part of the sizes of all hosts up to which nodes that see little let clients in; for sizes in cores.
-const FULL: f64 = 0.2;
-/// Token of the timer that asks for the list again, and of those that end a probe: the host is added.
-const T_ASK: u64 = 1;
-const T_PROBE: u64 = 1 << 32;
-/// How long a call keeps discovery busy. One that waits too long fails, but is worked through all the same.
-const CALL: Micros = 60_000;
-/// A fleet's calls are spread over this long at most: 6 s after discovery had it a change counts as notified,
-/// whether or not it arrived, and the call itself takes its time. And the least step between two calls.
-const ASK_WINDOW: Micros = 5_000_000;
-const RETRY: Micros = 250_000;
-/// A sign that a host serves this node is good for so long: in a few seconds a host fails or fills.
-const SEEN: Micros = 2_000_000;
-/// For so long a failure or a late message anywhere makes every placement doubtful: most faults last longer.
-const TROUBLE: Micros = 10_000_000;
-/// A probe is waited for this part of the shortest aim: some of them, and a set-up, fit in the aim.
-const PROBE_PART: u64 = 4;
-/// Bounded load: how far above its even share a server is filled before the walk passes it. Lower splits
-/// groups that would fit, higher lets one arc drown its server.
-const BOUND: f64 = 1.25;
-/// And this many mean connections more: a node that holds few should keep a small group together.
-const SLACK: f64 = 3.0;
-/// Messages late for less than this show a pause, not overload: reports come once a second.
-const LASTING: Micros = 900_000;
-/// Unless the host reports the first part of its capacity; from the second on it counts as full.
-const BUSY: (f64, f64) = (0.6, 0.8);
-/// What a host whose messages are past their aim may keep of this node's load there.
-const CUT: f64 = 0.8;
-/// Hosts that a walk passes, and passes if none has room and at most so many nodes share them. Each copy of a
-/// group costs, but less than to refuse while a host is idle. The first holds for probes too.
+/// Hash seed of the ring. It must be the same at every node and in every version: a change moves every key.
+const RING_HASH_SEED: u64 = 0x6569_6465_7268_6561;
+/// Ring points of each host. The arcs of a host then sum to an even share within a tenth: the deviation is
+/// one over the square root of the number of points (thesis, 2.2.3).
+const POINTS_PER_HOST: u64 = 100;
+/// Number of segments that the ring is kept in: with some hundred hosts each holds about a hundred points, so
+/// that a change of the list moves few of them.
+const RING_SEGMENTS: usize = 256;
+/// Capacity of a host as a multiple of the even share that it is asked to carry.
+const CAPACITY_PER_EVEN_SHARE: f64 = 1.75;
+/// Share of the steady traffic on its arcs that a cold host is sent, before it is multiplied by
+/// `overload_factor` and the host's warmth.
+const COLD_STEADY_SHARE: f64 = 0.35;
+/// Multiple of a cold host's allowance that all nodes of a large fleet with a sparse view use together. It
+/// may exceed 1 because the rule on cold hosts allows for chance as well.
+const COLD_ALLOWANCE_SPARSE_VIEW: f64 = 1.4;
+/// Multiple of a cold host's allowance that the nodes of a small fleet use together. It may exceed 1 for the
+/// same reason.
+const COLD_ALLOWANCE_SMALL_FLEET: f64 = 1.6;
+/// Assumed lifetime of a connection, in microseconds.
+const ASSUMED_LIFETIME_US: f64 = 60e6;
+/// Share of the total size of all hosts (in cores) up to which nodes with a sparse view admit clients.
+const SPARSE_VIEW_ADMISSION_SHARE: f64 = 0.2;
+/// Token of the timer that asks for the list again.
+const POLL_TIMER: u64 = 1;
+/// Flag in the token of a timer that ends a probe; the host's id is in the low 32 bits.
+const PROBE_TIMER: u64 = 1 << 32;
+/// Time that one request for the list keeps discovery busy. A request that waits too long fails, but
+/// discovery processes it all the same.
+const POLL_SERVICE_TIME: Micros = 60_000;
+/// Longest time over which a fleet spreads its requests for the list: 6 s after discovery received a change
+/// the node counts as notified, whether or not the change arrived, and the request itself takes time.
+const MAX_POLL_SPREAD: Micros = 5_000_000;
+/// Shortest step between two requests for the list to a polled discovery service, and the longest between two
+/// to an agent that pushes changes.
+const POLL_RETRY_STEP: Micros = 250_000;
+/// Shortest step between two requests for the list to an agent that pushes changes.
+const MIN_AGENT_RETRY_STEP: Micros = 20_000;
+/// Time for which evidence that a host serves this node is valid: a host fails or fills up within seconds.
+const LIVENESS_EVIDENCE_LIFETIME: Micros = 2_000_000;
+/// Time after any failure or late message for which every placement is in doubt: most faults last longer.
+const DOUBT_PERIOD: Micros = 10_000_000;
+/// A probe's timeout is the shortest set-up target divided by this: several probes and a set-up then fit in
+/// the target.
+const PROBES_PER_SETUP_TARGET: u64 = 4;
+/// Bounded load: multiple of its even share up to which a host is filled before the next one is tried. A
+/// lower value splits groups that would fit; a higher one lets a single arc overload its host.
+const BOUNDED_LOAD_FACTOR: f64 = 1.25;
+/// Added to that bound, in mean connections: a node that holds few connections should keep a small group
+/// together.
+const BOUNDED_LOAD_SLACK_CONNECTIONS: f64 = 3.0;
+/// Messages that are late for less than this show a pause rather than overload: reports come once a second.
+const SUSTAINED_DELAY: Micros = 900_000;
+/// Shortest time between two cuts of a host's ceiling, and between two moves of what is past it. Reports come
+/// once a second: earlier, the last change cannot have shown its effect.
+const MIN_ADJUSTMENT_INTERVAL: Micros = 900_000;
+/// Reported load of a host, as a share of its capacity, above which late messages mean overload at once.
+const BUSY_UTILIZATION: f64 = 0.6;
+/// Reported load of a host, as a share of its capacity, from which on it counts as full.
+const FULL_UTILIZATION: f64 = 0.8;
+/// Share of this node's load at a host that remains when the host's messages are past their target.
+const OVERLOAD_KEEP_SHARE: f64 = 0.8;
+/// Number of hosts that are tried for room, and the limit on a request's probes. Each copy of a group costs,
+/// but less than to refuse while a host is idle.
 const CANDIDATE_HOSTS: u32 = 3;
+/// Largest number of nodes that counts as a small fleet. In a larger one, a node with a sparse view must do
+/// by itself what is right if all nodes do it.
 pub(crate) const SMALL_FLEET_NODES: u32 = 8;
+/// Number of hosts that are tried in a small fleet while none of them has room, for the same reason.
 const CANDIDATE_HOSTS_IN_SMALL_FLEET: u32 = 8;
-/// Where message delays are not told: the part of its size (in cores) that a host is held to carry, divided
-/// evenly among nodes, and the multiple of that above which connections are moved off.
-const PLANNED: (f64, f64) = (0.8, 1.1);
-/// Messages later than this are answered by nobody: the host has stopped, and keeps nothing.
-const DEAD: Micros = 10_000_000;
-/// A ceiling is never lower than this part of a mean connection: some try again, and tell how the host is.
-const LEAST: f64 = 0.1;
-/// In this time a ceiling grows by a factor of e; up to twice as long where a node sees little.
-const CEILING_GROWTH: f64 = 20e6;
-/// Outlier ejection: the first failure passes a host over for this long, each further one for twice as long,
-/// up to 2^5 times.
-const EJECT: Micros = 500_000;
-/// From this hidden part of the traffic on a node sees little (see `sparse`): there, a host that drops a
-/// standing connection counts as one that failed so often.
-const LITTLE: f64 = 0.5;
-const DROPPED: u32 = 3;
-/// Own zones first from this price of a crossing on, for each zone: a group then has a home in each.
-const NEAR_PRICE: f64 = 0.0125;
-/// Successors looked at for one in the own zone, for each zone: more would fill a zone with few servers.
-const NEAR: usize = 3;
-/// Cost of any part of a group to a server, in mean connections; a node is charged its part, at most two.
-const GROUP: f64 = 6.0;
-/// A group is cut into pieces of this many servers' even share: each further piece costs one more server. The
-/// second where a node sees little: nodes' guesses, one arrival apart, scatter a group over more pieces.
-const PIECE: (f64, f64) = (2.0, 4.0);
-/// Prior of group sizes: shape of a gamma distribution, and the pairs of requests that its mean is worth.
-const ALIKE: f64 = 2.0;
-const PAIRS: f64 = 50.0;
-/// A tenant is over its share when it holds this much more than its part of this node's connections: nodes do
-/// not see equal parts. Of a learned ceiling it may then fill only the second figure.
-const OVER_SHARE: (f64, f64) = (1.3, 0.6);
-/// How old the sum over the ready hosts may be.
-const FRESH: Micros = 500_000;
-/// Horizon of this node's rate of new connections, also the life assumed of connections found at the start;
-/// and that over which a surge is told from it.
-const RATE_HORIZON: f64 = 20e6;
-const SURGE_HORIZON: f64 = 2e6;
-
-/// Connections and attempts of this node, at one host or in all.
+/// Where message delays are not reported: share of its size (in cores) that a host is planned to carry,
+/// divided evenly among nodes.
+const PLANNED_UTILIZATION: f64 = 0.8;
+/// Multiple of its ceiling at a host above which this node moves connections off.
+const UNLOAD_CEILING_FACTOR: f64 = 1.1;
+/// Message delay beyond which a host counts as stopped: nothing is kept there.
+const STOPPED_HOST_DELAY: Micros = 10_000_000;
+/// A message delay from the target divided by this up to the target freezes the ceiling at the present load.
+const CAUTION_DELAY_DIVISOR: u64 = 3;
+/// Smallest ceiling, in mean connections: a few clients still try the host, and show how it is.
+const MIN_CEILING_CONNECTIONS: f64 = 0.1;
+/// Time in which a ceiling grows by a factor of e, in microseconds; up to twice as long where a node has a
+/// sparse view.
+const CEILING_GROWTH_TIME_US: f64 = 20e6;
+/// Outlier ejection: time for which a host is passed over after its first failure; each further failure
+/// doubles it.
+const EJECTION_TIME: Micros = 500_000;
+/// Largest number of times that the ejection time is doubled.
+const MAX_EJECTION_DOUBLINGS: u32 = 5;
+/// Hidden share of the traffic above which a node has a sparse view (see `hidden_share`).
+const SPARSE_VIEW_THRESHOLD: f64 = 0.5;
+/// Where a node has a sparse view, a host that drops a standing connection counts as one that failed this
+/// many times before.
+const FAILURES_FOR_DROPPED_CONNECTION: u32 = 3;
+/// Price of a zone crossing, for each zone, from which on hosts of the own zone are tried first: a group then
+/// has a home in each zone.
+const MIN_LOCAL_ZONE_PRICE: f64 = 0.0125;
+/// Successors searched for a host of the own zone, for each zone: more would fill a zone with few hosts.
+const LOCAL_SUCCESSORS_PER_ZONE: usize = 3;
+/// Cost to a host of holding any part of a group, in mean connections. A node is charged its part of it, at
+/// most two connections.
+const GROUP_COST_CONNECTIONS: f64 = 6.0;
+/// Size of the pieces that a group is cut into, in even shares of a host: each further piece costs one more
+/// host.
+const PIECE_EVEN_SHARES: f64 = 2.0;
+/// The same where a node has a sparse view: estimates of nodes that differ by one arrival scatter a group
+/// over more pieces.
+const PIECE_EVEN_SHARES_SPARSE_VIEW: f64 = 4.0;
+/// Prior of group sizes: shape of a gamma distribution.
+const GROUP_PRIOR_SHAPE: f64 = 2.0;
+/// Prior of group sizes: number of request pairs that its mean is worth.
+const GROUP_PRIOR_PAIRS: f64 = 50.0;
+/// A tenant is over its share when it holds more than this multiple of its part of this node's connections:
+/// nodes do not see equal parts.
+const OVER_SHARE_TOLERANCE: f64 = 1.3;
+/// Share of a learned ceiling that a tenant over its share may fill.
+const OVER_SHARE_CEILING_PART: f64 = 0.6;
+/// Greatest age of the totals over the ready hosts: shares change slowly.
+const TOTALS_MAX_AGE: Micros = 500_000;
+/// Horizon of this node's rate of new connections, in microseconds; also the lifetime assumed of connections
+/// found at the start.
+const RATE_HORIZON_US: f64 = 20e6;
+/// Horizon over which a surge is told from that rate, in microseconds.
+const SURGE_HORIZON_US: f64 = 2e6;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// Connections and attempts of this node, at one host or at all hosts.
 #[derive(Default)]
-struct Book {
-    /// Those whose load was told: their sum and number.
-    known: (f64, u32),
-    unknown: Vec<u32>,
+struct LoadTally {
+    /// Connections whose load was reported: sum of the loads and number of connections.
+    reported: (f64, u32),
+    /// Number of connections without a reported load, by class.
+    unreported: Vec<u32>,
+    /// Number of groups with a connection there.
     groups: usize,
 }
 
-impl Book {
-    fn count(&mut self, class: usize, load: Option<f64>, into: bool) {
-        let step = |n: u32| if into { n + 1 } else { n.saturating_sub(1) };
+impl LoadTally {
+    /// Adds a connection, or removes it.
+    fn count(&mut self, class: usize, load: Option<f64>, add: bool) {
+        let step = |n: u32| if add { n + 1 } else { n.saturating_sub(1) };
         let Some(load) = load else {
-            if self.unknown.len() <= class {
-                self.unknown.resize(class + 1, 0);
+            if self.unreported.len() <= class {
+                self.unreported.resize(class + 1, 0);
             }
-            self.unknown[class] = step(self.unknown[class]);
+            self.unreported[class] = step(self.unreported[class]);
             return;
         };
-        let (sum, n) = self.known;
-        self.known = (if into { sum + load } else { (sum - load).max(0.0) }, step(n));
+        let (sum, n) = self.reported;
+        self.reported = (if add { sum + load } else { (sum - load).max(0.0) }, step(n));
     }
 }
 
@@ -125,62 +179,72 @@
 #[derive(Default)]
 struct Host {
     entry: Entry,
-    told_at: Micros,
-    /// Since when the list calls it gone or leaves it out, where that does not bind: it is in doubt.
-    unlisted: Option<Micros>,
-    book: Book,
+    /// When its present state was first listed.
+    state_since: Micros,
+    /// Since when the list calls it gone or leaves it out, where that is not binding: it is in doubt.
+    unlisted_since: Option<Micros>,
+    tally: LoadTally,
+    /// Number of connections and attempts there, by the group's ring position.
     groups: BTreeMap<u64, u32>,
-    /// What the book counts, in an order of its own: `shed` must not hang on that of a hash table.
+    /// The calls that the tally counts, in a fixed order: `move_excess` must not depend on that of a hash
+    /// table.
     calls: BTreeSet<CallId>,
-    /// Cold budget: sends in hand, as of this time.
-    tokens: (f64, Micros),
+    /// Cold budget: tokens in hand, as of this time.
+    cold_tokens: (f64, Micros),
     /// Learned ceiling of this node's load there, as of this time.
-    ceiling: (f64, Micros),
-    growth: f64,
-    /// What this node may plan to have there at most, and when connections were last moved off for it.
-    planned: f64,
+    learned_ceiling: (f64, Micros),
+    /// Time in which the learned ceiling grows by a factor of e, in microseconds.
+    ceiling_growth_time: f64,
+    /// Largest load that this node may plan to have there.
+    planned_load: f64,
+    /// When connections were last moved off because of the ceiling.
     unloaded_at: Micros,
-    fails: u32,
+    /// Failures since it last served, which set the next ejection time.
+    failures: u32,
     ejected_until: Micros,
-    /// When it last showed that it serves this node, and the load that it then reported.
-    seen: Option<Micros>,
-    load: f64,
-    /// Named after the first list, where probes can tell, and nothing has stood there yet.
+    /// When it last showed that it serves this node.
+    last_seen: Option<Micros>,
+    /// Load that it reported then, as a share of its capacity.
+    reported_load: f64,
+    /// First listed after the first list, where probes are allowed, and no connection was established yet.
     unproven: bool,
+    /// Since when its messages are late, and the delay then.
     late: Option<(Micros, Micros)>,
 }
 
 impl Host {
-    /// `turn`: the budget in hand where it is cold (see `cold_turn`).
-    fn new(entry: Entry, now: Micros, turn: f64) -> Host {
+    /// Returns a newly listed host. `tokens`: its cold budget in hand (see `initial_cold_tokens`).
+    fn new(entry: Entry, now: Micros, tokens: f64) -> Host {
         Host {
             entry,
-            told_at: now,
-            tokens: (turn, now),
-            ceiling: (f64::INFINITY, 0),
-            growth: CEILING_GROWTH,
-            planned: f64::INFINITY,
+            state_since: now,
+            cold_tokens: (tokens, now),
+            learned_ceiling: (f64::INFINITY, 0),
+            ceiling_growth_time: CEILING_GROWTH_TIME_US,
+            planned_load: f64::INFINITY,
             ..Host::default()
         }
     }
 
-    fn ceiling_at(&self, now: Micros) -> f64 {
-        self.ceiling.0 * (now.saturating_sub(self.ceiling.1) as f64 / self.growth).powi(2).exp()
+    fn learned_ceiling_at(&self, now: Micros) -> f64 {
+        self.learned_ceiling.0
+            * (now.saturating_sub(self.learned_ceiling.1) as f64 / self.ceiling_growth_time).powi(2).exp()
     }
 
-    fn fresh(&self, now: Micros) -> bool {
-        self.seen.is_some_and(|at| now < at.saturating_add(SEEN))
+    /// Whether there is recent evidence that the host serves this node.
+    fn recently_seen(&self, now: Micros) -> bool {
+        self.last_seen.is_some_and(|at| now < at.saturating_add(LIVENESS_EVIDENCE_LIFETIME))
     }
 
-    fn count(&mut self, c: &Call, into: bool) {
-        self.book.count(c.class, c.load, into);
+    fn count(&mut self, c: &Call, add: bool) {
+        self.tally.count(c.class, c.load, add);
         if c.grouped {
-            let n = self.groups.entry(c.point).or_insert(0);
-            *n = if into { *n + 1 } else { n.saturating_sub(1) };
+            let n = self.groups.entry(c.ring_position).or_insert(0);
+            *n = if add { *n + 1 } else { n.saturating_sub(1) };
             if *n == 0 {
-                self.groups.remove(&c.point);
+                self.groups.remove(&c.ring_position);
             }
-            self.book.groups = self.groups.len();
+            self.tally.groups = self.groups.len();
         }
     }
 }
@@ -190,71 +254,84 @@
 struct Call {
     class: usize,
     tenant: Option<usize>,
+    /// Its load, where it is known.
     load: Option<f64>,
-    point: u64,
-    /// The client's own hash: where it stands among those that a host can take a part of.
-    own: u64,
+    /// Its place on the ring: that of its group's piece, where it has a group.
+    ring_position: u64,
+    /// Hash of the client itself: its rank among the clients when a host can take only some of them.
+    client_hash: u64,
+    /// Zone that the fleet's plan sends it to, and one where it may be retried.
     zones: Option<(usize, Option<usize>)>,
     grouped: bool,
     /// Back after a break or a move, or known to repeat.
     returned: bool,
     deadline: Micros,
     /// Time since the arrival before it.
-    gap: Micros,
+    arrival_gap: Micros,
+    /// Hosts that it was sent to.
     tried: Vec<HostId>,
-    out: Option<HostId>,
-    begun: bool,
-    leaving: bool,
-    sends: u32,
+    /// Host of the attempt under way or of the connection.
+    host: Option<HostId>,
+    /// A connection was established.
+    established: bool,
+    /// It was asked to move and has not closed yet.
+    moving: bool,
+    attempts: u32,
     probes: u32,
     mid_flow: bool,
     sent_at: Micros,
-    /// First attempt that may have run, and when it was sent.
+    /// Host of the first attempt that may have run, and when it was sent.
     maybe_ran: Option<(HostId, Micros)>,
 }
 
 impl Call {
-    /// Where a client stands at a host among all clients: one that can take a part of a connection from this
-    /// node takes those below that part. Residents first, but not where nodes see little and most are guests.
-    fn turn(&self, host: HostId, home: bool, little: bool) -> f64 {
-        let (half, guest) = if little { (1.0, 0.0) } else { (0.5, if home { 0.0 } else { 0.5 }) };
-        draw(host, self.own) * half + guest
+    /// Returns the client's rank at a host among all clients, from 0 to 1: a host that can take a fraction of
+    /// a connection from this node admits the clients ranked below that fraction. Clients at their home come
+    /// first, except where nodes have a sparse view and most clients are away from home.
+    fn admission_rank(&self, host: HostId, at_home: bool, sparse_view: bool) -> f64 {
+        let (scale, offset) = if sparse_view { (1.0, 0.0) } else { (0.5, if at_home { 0.0 } else { 0.5 }) };
+        host_fraction(host, self.client_hash) * scale + offset
     }
 }
 
-/// What the ready hosts are together.
+/// Totals over the ready hosts.
 #[derive(Default)]
 struct Totals {
-    ready: usize,
-    /// Their size, cold and ejected ones for what they can take: the others carry the rest.
+    /// Number of ready hosts.
+    hosts: usize,
+    /// Sum of their sizes, where cold and ejected hosts count for what they can take: the others carry the
+    /// rest.
     size: f64,
+    /// When the totals were computed.
     at: Option<Micros>,
 }
 
-/// A retry budget, where there is one, with what was taken and tried further within its span.
+/// A retry budget, where there is one, with the requests and retries within its span.
 #[derive(Default)]
-struct Ration {
+struct RetryWindow {
     budget: Option<RetryBudget>,
-    taken: VecDeque<Micros>,
-    further: VecDeque<Micros>,
+    /// When requests were taken.
+    requests: VecDeque<Micros>,
+    /// When attempts beyond a request's first were sent.
+    retries: VecDeque<Micros>,
 }
 
-impl Ration {
-    /// Further attempts that it allows now. It holds for every window, so at its older edge an attempt counts
-    /// still and a request no more.
+impl RetryWindow {
+    /// Returns the number of retries that it allows now. It holds for every window, so at the older edge of
+    /// the span a retry still counts and a request no longer does.
     fn left(&mut self, now: Micros) -> f64 {
         let Some(b) = self.budget else { return f64::INFINITY };
-        while self.taken.front().is_some_and(|&at| at.saturating_add(b.span) <= now) {
-            self.taken.pop_front();
+        while self.requests.front().is_some_and(|&at| at.saturating_add(b.span) <= now) {
+            self.requests.pop_front();
         }
-        while self.further.front().is_some_and(|&at| at.saturating_add(b.span) < now) {
-            self.further.pop_front();
+        while self.retries.front().is_some_and(|&at| at.saturating_add(b.span) < now) {
+            self.retries.pop_front();
         }
-        (b.free + b.share * self.taken.len() as f64).floor() - self.further.len() as f64
+        (b.free + b.share * self.requests.len() as f64).floor() - self.retries.len() as f64
     }
 }
 
-/// The decisions of one node.
+/// The placement decisions of one node.
 #[derive(Default)]
 pub struct PlacementPolicy {
     settings: Settings,
@@ -262,89 +339,98 @@
     hosts: BTreeMap<HostId, Host>,
     /// Points in clockwise order, in segments of equal length: a change of the list then moves few of them.
     ring: Vec<Vec<(u64, HostId)>>,
-    placed: BTreeSet<HostId>,
-    /// The most hosts that the list named at a time: so many that it left out are kept, the latest.
+    /// Hosts whose points are on the ring.
+    on_ring: BTreeSet<HostId>,
+    /// The most hosts that the list named at a time. As many unlisted hosts are kept, the latest ones.
     most_listed: usize,
-    book: Book,
+    tally: LoadTally,
     totals: Totals,
-    /// Never gone through: its order is that of a hash table.
+    /// Never iterated: its order is that of a hash table.
     calls: HashMap<CallId, Call, BuildHasherDefault<Xxh64>>,
-    /// Probes out, by host: until when they are waited for, and the requests that wait.
-    waiting: BTreeMap<HostId, (Micros, Vec<CallId>)>,
+    /// Probes under way, by host: when they time out, and the requests that wait for them.
+    pending_probes: BTreeMap<HostId, (Micros, Vec<CallId>)>,
     /// When an attempt or a probe last failed, or a message was late.
-    trouble: Option<Micros>,
+    last_trouble: Option<Micros>,
     subscribed: bool,
-    ask_failures: u32,
-    /// Loads told so far, by class: their sum and number; the last one is over all classes.
-    told: Vec<(f64, f64)>,
-    /// Connections and attempts of this node by tenant; the last one is over all.
+    /// Failures of discovery since the last list.
+    poll_failures: u32,
+    /// Loads reported so far, by class: sum and number. The last entry is over all classes.
+    reported_loads: Vec<(f64, f64)>,
+    /// Connections and attempts of this node, by tenant. The last entry is over all tenants.
     held: Vec<u32>,
-    rate: (f64, Micros),
-    surge: (f64, Micros),
-    /// Requests by group, those of returning clients left out.
-    groups: BTreeMap<u64, f64>,
-    /// Their sum, and how many ordered pairs of them fall into one group.
-    grouped: f64,
-    pairs: f64,
-    /// Retry budgets: by tenant, and the last one over all.
-    rations: Vec<Ration>,
+    /// Rate of new connections a microsecond over `RATE_HORIZON_US`, as of this time.
+    arrival_rate: (f64, Micros),
+    /// The same over `SURGE_HORIZON_US`.
+    recent_rate: (f64, Micros),
+    /// Number of requests by group, without those of returning clients.
+    group_requests: BTreeMap<u64, f64>,
+    /// Sum of `group_requests`.
+    grouped_requests: f64,
+    /// Number of ordered pairs of those requests that fall into the same group.
+    same_group_pairs: f64,
+    /// Retry budgets by tenant; the last entry is over all tenants.
+    retry_windows: Vec<RetryWindow>,
 }
 
 impl PlacementPolicy {
-    /// A node that knows no server yet. Refuses settings that no deployment can mean.
+    /// Returns the policy of a node that knows no server yet. Refuses settings that no deployment can mean.
     pub fn new(settings: Settings, seed: u64) -> Result<PlacementPolicy, SettingsError> {
         settings.validate()?;
         let budgets = settings.tenants.iter().map(|t| t.budget).chain([settings.rules.budget]);
         Ok(PlacementPolicy {
-            told: vec![(0.0, 0.0); settings.classes.len() + 1],
+            reported_loads: vec![(0.0, 0.0); settings.classes.len() + 1],
             held: vec![0; settings.tenants.len() + 1],
-            rations: budgets.map(|budget| Ration { budget, ..Ration::default() }).collect(),
-            ring: vec![Vec::new(); SEGMENTS],
+            retry_windows: budgets.map(|budget| RetryWindow { budget, ..RetryWindow::default() }).collect(),
+            ring: vec![Vec::new(); RING_SEGMENTS],
             settings,
             rng: seed,
             ..PlacementPolicy::default()
         })
     }
 
-    /// Takes in one event.
+    /// Processes one event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { kind, hosts } => self.members(now, kind, hosts, out),
-            Event::Tenants(tenants) => self.tenants(tenants),
+            Event::Members { kind, hosts } => self.update_members(now, kind, hosts, out),
+            Event::Tenants(tenants) => self.update_tenants(tenants),
             Event::Demand(demand) => {
-                self.rations(demand.tenant).for_each(|r| r.taken.push_back(now));
-                let call = self.admit(now, demand);
-                self.arrived(now);
-                self.advance(now, call, out);
+                self.binding_budgets(demand.tenant).for_each(|r| r.requests.push_back(now));
+                let call = self.register(now, demand);
+                self.record_arrival(now);
+                self.send_or_answer(now, call, out);
             }
             Event::Adopted(demand, host) => {
-                let call = self.admit(now, demand);
-                self.calls.entry(call.clone()).and_modify(|c| (c.begun, c.sends) = (true, 1));
-                self.arrived(now);
+                let call = self.register(now, demand);
+                self.calls.entry(call.clone()).and_modify(|c| (c.established, c.attempts) = (true, 1));
+                self.record_arrival(now);
                 self.attach(&call, host);
             }
             Event::Opened { call, host, .. } => {
                 if let Some(h) = self.hosts.get_mut(&host) {
-                    (h.fails, h.ejected_until, h.seen, h.unproven) = (0, now, Some(now), false);
+                    (h.failures, h.ejected_until, h.last_seen, h.unproven) = (0, now, Some(now), false);
                 }
-                self.calls.entry(call).and_modify(|c| c.begun = true);
+                self.calls.entry(call).and_modify(|c| c.established = true);
             }
             Event::LoadNote { call, load } => {
-                self.load_told(&call, load);
+                self.record_load(&call, load);
                 self.unload(now, &call, out);
             }
-            Event::DelayNote { host, delay } => self.delay_told(now, host, delay, out),
+            Event::DelayNote { host, delay } => self.record_delay(now, host, delay, out),
             Event::Finished { call, outcome, ended, host, .. } => {
-                // A second host that sends it back is not blamed: the request may be one that nobody can use.
-                let again = |c: &Call| outcome == Outcome::Error && c.maybe_ran.is_some();
-                let excused = self.calls.get(&call).is_some_and(|c| c.begun || again(c));
+                // A second host that returns an error is not blamed: the request itself may be faulty.
+                let repeated_error = |c: &Call| outcome == Outcome::Error && c.maybe_ran.is_some();
+                let excused = self.calls.get(&call).is_some_and(|c| c.established || repeated_error(c));
                 self.detach(&call);
-                // A host that drops what stands is overloaded or ends. Who sees little learns that by nothing
-                // else, and its clients would be sent there again at once.
-                let least = if outcome == Outcome::Reset && self.little() { DROPPED } else { 0 };
+                // A host that drops a standing connection is overloaded or ending. A node with a sparse view
+                // has no other sign of it, and would send that host's clients there again at once.
+                let least = if outcome == Outcome::Reset && self.has_sparse_view() {
+                    FAILURES_FOR_DROPPED_CONNECTION
+                } else {
+                    0
+                };
                 let passed = excused || matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot);
                 if least > 0 || !passed {
-                    self.failed(now, host, least);
+                    self.record_failure(now, host, least);
                 }
                 let Some(c) = self.calls.get_mut(&call) else { return };
                 if ended {
@@ -353,250 +439,260 @@
                 if !outcome.never_ran() && c.maybe_ran.is_none() {
                     c.maybe_ran = Some((host, c.sent_at));
                 }
-                if outcome == Outcome::Moot && c.sends > 1 {
-                    // It was never sent: the retry budget gets it back.
+                if outcome == Outcome::Moot && c.attempts > 1 {
+                    // The retry was never sent, so it is returned to the retry budget.
                     let (at, tenant) = (c.sent_at, c.tenant);
-                    for r in self.rations(tenant) {
-                        let found = r.further.iter().rposition(|&sent| sent == at);
-                        found.map(|i| r.further.remove(i));
+                    for r in self.binding_budgets(tenant) {
+                        let found = r.retries.iter().rposition(|&sent| sent == at);
+                        found.map(|i| r.retries.remove(i));
                     }
                 }
-                self.advance(now, call, out);
+                self.send_or_answer(now, call, out);
             }
             Event::Probed { host, outcome, load } => {
                 let late = self.hosts.get(&host).and_then(|h| h.late);
                 let ok = outcome == Outcome::Ok;
-                if let Some((_, delay)) = late.filter(|_| !ok || load > Some(BUSY.0)) {
-                    self.relieve(now, host, delay, out);
+                if let Some((_, delay)) = late.filter(|_| !ok || load > Some(BUSY_UTILIZATION)) {
+                    self.relieve_overload(now, host, delay, out);
                 }
-                self.probed(now, host, ok, load, out);
+                self.finish_probe(now, host, ok, load, out);
             }
             Event::Vanished { call } => {
                 self.detach(&call);
                 self.calls.remove(&call);
             }
             Event::Timer { token } => {
-                if token == T_ASK {
-                    self.ask(out);
-                } else if self.waiting.get(&(token as HostId)).is_some_and(|probe| now >= probe.0) {
-                    self.probed(now, token as HostId, false, None, out);
+                if token == POLL_TIMER {
+                    self.subscribe(out);
+                } else if self.pending_probes.get(&(token as HostId)).is_some_and(|probe| now >= probe.0) {
+                    self.finish_probe(now, token as HostId, false, None, out);
                 }
             }
         }
     }
 
-    /// Other tenants: the books and retry budgets of those that stay go on, behind them are those over all.
-    fn tenants(&mut self, mut tenants: Vec<Tenant>) {
+    /// Replaces the tenants. Those that stay keep their counts and retry budgets; new ones are inserted
+    /// before the entries over all tenants.
+    fn update_tenants(&mut self, mut tenants: Vec<Tenant>) {
         let old = self.settings.tenants.len();
         tenants.resize(old.max(tenants.len()), Tenant::default());
         self.held.splice(old..old, vec![0; tenants.len() - old]);
-        self.rations.splice(old..old, tenants[old..].iter().map(|_| Ration::default()));
-        self.rations.iter_mut().zip(&tenants).for_each(|(ration, tenant)| ration.budget = tenant.budget);
+        self.retry_windows.splice(old..old, tenants[old..].iter().map(|_| RetryWindow::default()));
+        self.retry_windows
+            .iter_mut()
+            .zip(&tenants)
+            .for_each(|(window, tenant)| window.budget = tenant.budget);
         self.settings.tenants = tenants;
     }
 
-    /// Takes in news of the list; asks for more where the site must be asked.
-    fn members(&mut self, now: Micros, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
+    /// Applies an update of the list; schedules the next request for it where discovery has to be asked.
+    fn update_members(&mut self, now: Micros, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
         if kind == ListKind::Failed {
             self.subscribed = false;
-            self.ask_failures += 1;
-            let wait = self.step().min(RETRY) / 2 + self.random() % self.step().max(self.ask_window());
-            let at = now + wait.min(self.longest_unasked());
-            return out.push(Action::Timer { at, token: T_ASK });
+            self.poll_failures += 1;
+            let wait = self.poll_retry_step().min(POLL_RETRY_STEP) / 2
+                + self.random() % self.poll_retry_step().max(self.poll_spread());
+            let at = now + wait.min(self.latest_poll());
+            return out.push(Action::Timer { at, token: POLL_TIMER });
         }
-        let (mut joined, stays) = (Vec::new(), self.settings.rules.unlisted_hosts_usable);
-        let known = self.settings.limits.probes && !self.hosts.is_empty();
-        let blind = self.settings.weights_are_sizes && !self.settings.message_delays_reported;
+        let (mut joined, only_drains_bind) = (Vec::new(), self.settings.rules.unlisted_hosts_usable);
+        let unproven = self.settings.limits.probes && !self.hosts.is_empty();
+        let plan_by_size = self.settings.weights_are_sizes && !self.settings.message_delays_reported;
         let peers = f64::from(self.settings.peers_total.max(1));
         if kind != ListKind::Changes {
-            let keep: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
-            let left: Vec<HostId> = self.hosts.keys().copied().filter(|h| !keep.contains(h)).collect();
-            left.into_iter().for_each(|host| self.dropped(now, host));
+            let listed: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
+            let left: Vec<HostId> = self.hosts.keys().copied().filter(|h| !listed.contains(h)).collect();
+            left.into_iter().for_each(|host| self.mark_unlisted(now, host));
         }
         for mut entry in entries {
-            let turn = self.cold_turn();
+            let tokens = self.initial_cold_tokens();
             if entry.state == HostState::Gone {
-                self.dropped(now, entry.host);
+                self.mark_unlisted(now, entry.host);
                 continue;
             }
             let host = self.hosts.entry(entry.host).or_insert_with(|| {
                 joined.push(entry.host);
-                Host { unproven: known, ..Host::new(entry.clone(), now, turn) }
+                Host { unproven, ..Host::new(entry.clone(), now, tokens) }
             });
             let restarted = host.entry.ready_at != entry.ready_at;
-            if stays && host.entry.state == HostState::Draining && !restarted {
-                // It drained, and no restart undid that: a list that now says otherwise is in error.
+            if only_drains_bind && host.entry.state == HostState::Draining && !restarted {
+                // Only a restart ends a drain: a list that now calls the host ready is in error.
                 entry.state = HostState::Draining;
             }
             if host.entry.state != entry.state {
-                host.told_at = now;
+                host.state_since = now;
             }
-            host.unlisted = None;
+            host.unlisted_since = None;
             if restarted {
-                // Restarted under its old id: what was learned of the old process is void.
-                (host.fails, host.ejected_until) = (0, now);
-                (host.ceiling, host.tokens) = ((f64::INFINITY, now), (turn, now));
+                // Restarted under the same id: what was learned about the old process no longer applies.
+                (host.failures, host.ejected_until) = (0, now);
+                (host.learned_ceiling, host.cold_tokens) = ((f64::INFINITY, now), (tokens, now));
             }
             host.entry = entry;
-            if blind && host.entry.weight > 0.0 {
-                host.planned = PLANNED.0 * host.entry.weight * 1e6 / peers;
+            if plan_by_size && host.entry.weight > 0.0 {
+                host.planned_load = PLANNED_UTILIZATION * host.entry.weight * MICROS_PER_SECOND / peers;
             }
         }
-        if stays {
-            self.bound_unlisted();
+        if only_drains_bind {
+            self.limit_unlisted();
         }
-        self.place(&joined);
+        self.add_to_ring(&joined);
         self.totals.at = None;
         if kind != ListKind::Cached {
-            (self.subscribed, self.ask_failures) = (true, 0);
+            (self.subscribed, self.poll_failures) = (true, 0);
         } else if self.settings.discovery == Discovery::Asked {
-            // All may have started at once.
-            match self.random() % (self.ask_window() + 1) {
-                0 => self.ask(out),
-                wait => out.push(Action::Timer { at: now + wait, token: T_ASK }),
+            // All nodes may have started at once, so their requests are spread.
+            match self.random() % (self.poll_spread() + 1) {
+                0 => self.subscribe(out),
+                wait => out.push(Action::Timer { at: now + wait, token: POLL_TIMER }),
             }
         }
     }
 
-    /// Between two calls. An agent of this node's own counts as having told it all: in time for a drain.
-    fn step(&self) -> Micros {
+    /// Returns the time between two requests for the list. Where a local agent pushes changes, the node
+    /// counts as notified of all that the agent has, so the step is short enough for a drain.
+    fn poll_retry_step(&self) -> Micros {
         match self.settings.discovery {
-            Discovery::Asked => RETRY << self.ask_failures.min(2),
-            Discovery::Pushed => (self.settings.rules.drain_grace / 4).clamp(20_000, RETRY),
+            Discovery::Asked => POLL_RETRY_STEP << self.poll_failures.min(2),
+            Discovery::Pushed => {
+                (self.settings.rules.drain_grace / 4).clamp(MIN_AGENT_RETRY_STEP, POLL_RETRY_STEP)
+            }
         }
     }
 
-    /// How long the fleet spreads its calls over: as long as discovery, one service for all, takes to answer
-    /// every other node once, up to `ASK_WINDOW`.
-    fn ask_window(&self) -> Micros {
+    /// Returns the time over which the fleet spreads its requests for the list: as long as discovery, one
+    /// service for all nodes, takes to answer every other node once, up to `MAX_POLL_SPREAD`.
+    fn poll_spread(&self) -> Micros {
         let all = if self.settings.discovery == Discovery::Pushed { 1 } else { self.settings.peers_total };
-        u64::from(all.saturating_sub(1)).saturating_mul(CALL).min(ASK_WINDOW).min(self.longest_unasked())
+        u64::from(all.saturating_sub(1))
+            .saturating_mul(POLL_SERVICE_TIME)
+            .min(MAX_POLL_SPREAD)
+            .min(self.latest_poll())
     }
 
-    /// A node that asks this late asks in time still.
-    fn longest_unasked(&self) -> Micros {
+    /// Returns the longest wait before a request for the list: four fifths of the allowed interval, so that
+    /// the request is still in time.
+    fn latest_poll(&self) -> Micros {
         self.settings.max_poll_interval.map_or(Micros::MAX / 4, |most| most / 10 * 8)
     }
 
-    fn ask(&self, out: &mut Vec<Action>) {
+    /// Asks for the list, unless the node is subscribed to its changes.
+    fn subscribe(&self, out: &mut Vec<Action>) {
         if !self.subscribed {
             out.push(Action::Watch);
         }
     }
 
-    /// The list calls a host gone or leaves it out. Where only draining binds, that is a claim like any
-    /// other: the host keeps its points, books and ceiling, and this node's own attempts tell (`failed`).
-    fn dropped(&mut self, now: Micros, host: HostId) {
+    /// Handles a host that the list calls gone or leaves out. Where only drains bind, the list is not proof:
+    /// the host keeps its points, counts and ceiling, and this node's own attempts decide (`record_failure`).
+    fn mark_unlisted(&mut self, now: Micros, host: HostId) {
         if !self.settings.rules.unlisted_hosts_usable {
-            return self.forget(host);
+            return self.remove_host(host);
         }
         if let Some(h) = self.hosts.get_mut(&host) {
-            h.unlisted.get_or_insert(now);
+            h.unlisted_since.get_or_insert(now);
         }
     }
 
-    fn bound_unlisted(&mut self) {
-        let left = self.hosts.iter().filter_map(|(&id, h)| h.unlisted.map(|at| (at, id)));
+    /// Removes the hosts that have been unlisted longest, so that no more are kept than were ever listed at a
+    /// time.
+    fn limit_unlisted(&mut self) {
+        let left = self.hosts.iter().filter_map(|(&id, h)| h.unlisted_since.map(|at| (at, id)));
         let mut left: Vec<(Micros, HostId)> = left.collect();
         self.most_listed = self.most_listed.max(self.hosts.len() - left.len());
         left.sort_unstable();
         let over = left.len().saturating_sub(self.most_listed);
-        left[..over].iter().for_each(|&(_, host)| self.forget(host));
+        left[..over].iter().for_each(|&(_, host)| self.remove_host(host));
     }
 
-    fn forget(&mut self, host: HostId) {
+    fn remove_host(&mut self, host: HostId) {
         if let Some(gone) = self.hosts.remove(&host) {
-            self.book.groups -= gone.book.groups;
+            self.tally.groups -= gone.tally.groups;
         }
     }
 
-    /// The hosts as this node sees them, for whoever plans moves. Decides nothing.
+    /// Returns the hosts as this node sees them, for the planning of moves. Changes nothing.
     pub fn hosts(&self, now: Micros) -> Vec<HostView> {
         let listed = self.hosts.iter().filter(|(_, h)| h.entry.state == HostState::Ready);
         let view = |(&host, h): (&HostId, &Host)| {
-            let takes = h.unlisted.is_none() && !h.unproven && now >= h.ejected_until;
-            let (load, size) = (self.load_in(&h.book), self.size_of(h));
+            let accepts_connections = h.unlisted_since.is_none() && !h.unproven && now >= h.ejected_until;
+            let (load, size) = (self.total_load(&h.tally), self.size_of(h));
             HostView {
                 host,
                 load,
                 size,
                 warmth: self.warmth(now, h),
                 ready_at: h.entry.ready_at,
-                accepts_connections: takes,
+                accepts_connections,
             }
         };
         listed.map(view).collect()
     }
 
-    /// The connections that stand elsewhere than at the first host of their walk. Decides nothing.
+    /// Returns the connections that are not at their home, the first of their candidates. Changes nothing.
     pub fn misplaced_connections(&self) -> Vec<MisplacedConnection> {
-        let there = self.hosts.iter().flat_map(|(&at, h)| h.calls.iter().map(move |call| (at, call)));
-        let stray = |(at, call): (HostId, &CallId)| {
-            let c = self.calls.get(call).filter(|c| c.begun && !c.leaving && !c.mid_flow)?;
-            let home = self.walk(c).next().filter(|&home| home != at)?;
-            let (call, point, class, load) = (call.clone(), c.point, c.class, self.load(c));
-            Some(MisplacedConnection {
-                call,
-                current_host: at,
-                home_host: home,
-                ring_position: point,
-                class,
-                load,
-            })
+        let standing = self.hosts.iter().flat_map(|(&at, h)| h.calls.iter().map(move |call| (at, call)));
+        let misplaced = |(current_host, call): (HostId, &CallId)| {
+            let c = self.calls.get(call).filter(|c| c.established && !c.moving && !c.mid_flow)?;
+            let home_host = self.candidates(c).next().filter(|&home| home != current_host)?;
+            let (call, ring_position, class, load) =
+                (call.clone(), c.ring_position, c.class, self.load_of(c));
+            Some(MisplacedConnection { call, current_host, home_host, ring_position, class, load })
         };
-        there.filter_map(stray).collect()
+        standing.filter_map(misplaced).collect()
     }
 
-    /// Puts the points of hosts that joined on the circle. Those of hosts that left are passed by the walk,
-    /// serve again if the host comes back, and are cleared away when they are the greater part.
-    fn place(&mut self, joined: &[HostId]) {
-        let before = self.placed.len();
-        let room = joined.len() * POINTS as usize / SEGMENTS;
+    /// Puts the points of hosts that joined on the ring. The points of hosts that left stay, are passed over
+    /// by the search, and serve again if the host returns; they are removed once they are the majority.
+    fn add_to_ring(&mut self, joined: &[HostId]) {
+        let before = self.on_ring.len();
+        let room = joined.len() * POINTS_PER_HOST as usize / RING_SEGMENTS;
         self.ring.iter_mut().for_each(|s| s.reserve(room + room / 4));
-        for &host in joined.iter().filter(|&&host| self.placed.insert(host)) {
-            let seed = xxh64(&host.to_le_bytes(), CIRCLE);
-            for n in 1..=POINTS {
-                let point = mix(seed, n);
-                self.ring[segment(point)].push((point, host));
+        for &host in joined.iter().filter(|&&host| self.on_ring.insert(host)) {
+            let seed = xxh64(&host.to_le_bytes(), RING_HASH_SEED);
+            for n in 1..=POINTS_PER_HOST {
+                let point = ring_point(seed, n);
+                self.ring[ring_segment(point)].push((point, host));
             }
         }
-        if self.placed.len() > before {
+        if self.on_ring.len() > before {
             self.ring.iter_mut().filter(|s| !s.is_sorted()).for_each(|s| s.sort_unstable());
         }
-        if self.placed.len() > 2 * self.hosts.len() + 1 {
-            self.placed.retain(|host| self.hosts.contains_key(host));
+        if self.on_ring.len() > 2 * self.hosts.len() + 1 {
+            self.on_ring.retain(|host| self.hosts.contains_key(host));
             self.ring.iter_mut().for_each(|s| s.retain(|(_, host)| self.hosts.contains_key(host)));
         }
     }
 
-    fn admit(&mut self, now: Micros, d: Demand) -> CallId {
-        self.sum_up(now);
+    /// Enters a request, with its place on the ring, among the calls.
+    fn register(&mut self, now: Micros, d: Demand) -> CallId {
+        self.refresh_totals(now);
         let key = d.group.as_deref().or(d.key.as_deref()).unwrap_or(&d.call.0);
-        let own = xxh64(d.key.as_deref().unwrap_or(&d.call.0).as_bytes(), CIRCLE);
-        let mut point = xxh64(key.as_bytes(), CIRCLE);
+        let client_hash = xxh64(d.key.as_deref().unwrap_or(&d.call.0).as_bytes(), RING_HASH_SEED);
+        let mut ring_position = xxh64(key.as_bytes(), RING_HASH_SEED);
         if d.group.is_some() {
             if !d.returned {
-                let seen = self.groups.entry(point).or_insert(0.0);
-                self.pairs += 2.0 * *seen;
+                let seen = self.group_requests.entry(ring_position).or_insert(0.0);
+                self.same_group_pairs += 2.0 * *seen;
                 *seen += 1.0;
-                self.grouped += 1.0;
+                self.grouped_requests += 1.0;
             }
-            let piece = jump(own, self.pieces(point));
+            let piece = jump_hash(client_hash, self.piece_count(ring_position));
             if piece > 0 {
-                point = xxh64(&piece.to_le_bytes(), point);
+                ring_position = xxh64(&piece.to_le_bytes(), ring_position);
             }
         }
         let call = Call {
             class: d.class.min(self.settings.classes.len()),
             tenant: d.tenant.filter(|&t| t < self.settings.tenants.len()),
             load: d.hint,
-            point,
-            own,
+            ring_position,
+            client_hash,
             zones: d.zones,
             grouped: d.group.is_some(),
             returned: d.returned || d.repeat,
             deadline: now.saturating_add(d.left),
-            gap: now.saturating_sub(self.surge.1),
+            arrival_gap: now.saturating_sub(self.recent_rate.1),
             mid_flow: d.mid_flow,
             ..Call::default()
         };
@@ -604,23 +700,27 @@
         d.call
     }
 
-    /// Into how many pieces a group is cut: by the part of all connections that it is held to have, beside an
-    /// even share of a server. What a node saw of this one is weighed against the mean size of groups, and
-    /// that is told by how often any two requests fall into one group.
-    fn pieces(&self, group: u64) -> u32 {
-        let hosts = self.totals.ready as f64;
-        let (n, k) = (self.grouped, self.groups.get(&group).copied().unwrap_or(0.0));
+    /// Returns the number of pieces that a group is cut into, from its estimated part of all connections
+    /// compared with an even share of a host. The requests that this node saw of the group are weighed
+    /// against the mean group size, which follows from how often two requests fall into the same group.
+    fn piece_count(&self, group: u64) -> u32 {
+        let hosts = self.totals.hosts as f64;
+        let (n, k) = (self.grouped_requests, self.group_requests.get(&group).copied().unwrap_or(0.0));
         if hosts < 1.0 || k < 1.0 {
             return 1;
         }
-        let mean = (self.pairs + PAIRS / hosts) / (n * (n - 1.0) + PAIRS);
-        let part = (k - 1.0 + ALIKE) / (n - 1.0 + ALIKE / mean);
-        (part * hosts / if self.little() { PIECE.1 } else { PIECE.0 }).round().clamp(1.0, hosts) as u32
-    }
-
-    fn successors(&self, point: u64) -> impl Iterator<Item = HostId> + '_ {
-        let at = segment(point);
-        let i = self.ring[at].partition_point(|&(p, _)| p < point);
+        let mean = (self.same_group_pairs + GROUP_PRIOR_PAIRS / hosts) / (n * (n - 1.0) + GROUP_PRIOR_PAIRS);
+        let part = (k - 1.0 + GROUP_PRIOR_SHAPE) / (n - 1.0 + GROUP_PRIOR_SHAPE / mean);
+        (part * hosts
+            / if self.has_sparse_view() { PIECE_EVEN_SHARES_SPARSE_VIEW } else { PIECE_EVEN_SHARES })
+        .round()
+        .clamp(1.0, hosts) as u32
+    }
+
+    /// Returns the listed hosts in clockwise order from a place on the ring, each once.
+    fn successors(&self, ring_position: u64) -> impl Iterator<Item = HostId> + '_ {
+        let at = ring_segment(ring_position);
+        let i = self.ring[at].partition_point(|&(p, _)| p < ring_position);
         let rest = self.ring[at + 1..].iter().chain(&self.ring[..at]).flatten();
         let points = self.ring[at][i..].iter().chain(rest).chain(&self.ring[at][..i]);
         let (mut seen, all) = (BTreeSet::new(), self.hosts.len());
@@ -628,161 +728,188 @@
         listed.filter(move |&host| seen.insert(host)).take(all)
     }
 
-    /// The walk of a placement. A fleet's plan leaves but one zone's hosts, and where that failed a second's.
-    fn walk(&self, c: &Call) -> impl Iterator<Item = HostId> + '_ {
-        let (one, then) = (c.zones.map(|zones| zones.0), c.zones.and_then(|zones| zones.1));
-        let failed = || self.ready().all(|h| h.entry.zone != one || h.fails > 0);
-        let then = then.filter(|_| c.sends > 0 || failed());
+    /// Returns the hosts to try for a request, in order; the first is its home. Where a fleet's plan names
+    /// zones, these are the hosts of the first zone, and after a failure there those of the second.
+    fn candidates(&self, c: &Call) -> impl Iterator<Item = HostId> + '_ {
+        let (first_zone, second_zone) = (c.zones.map(|zones| zones.0), c.zones.and_then(|zones| zones.1));
+        let failed = || self.ready().all(|h| h.entry.zone != first_zone || h.failures > 0);
+        let second_zone = second_zone.filter(|_| c.attempts > 0 || failed());
         let zone = |id| self.hosts.get(&id).and_then(|h: &Host| h.entry.zone);
-        let first = self.order(c.point).filter(move |&id| one.is_none() || zone(id) == one);
-        let second = then.map(|_| self.order(c.point).filter(move |&id| zone(id) == then));
+        let first = self
+            .preference_order(c.ring_position)
+            .filter(move |&id| first_zone.is_none() || zone(id) == first_zone);
+        let second = second_zone
+            .map(|_| self.preference_order(c.ring_position).filter(move |&id| zone(id) == second_zone));
         first.chain(second.into_iter().flatten())
     }
 
-    fn order(&self, point: u64) -> impl Iterator<Item = HostId> + '_ {
+    /// Returns the successors of a place on the ring; where zone crossings are expensive, the nearest ones in
+    /// the own zone come first.
+    fn preference_order(&self, ring_position: u64) -> impl Iterator<Item = HostId> + '_ {
         let zones = self.settings.zones;
-        let own = self.settings.zone.filter(|_| self.settings.cross_zone_price >= NEAR_PRICE * zones as f64);
-        let stands = move |id| own.is_some() && self.hosts.get(&id).map(|h| h.entry.zone) == Some(own);
-        let first = own.map_or(0, |_| NEAR * zones);
-        let near = self.successors(point).take(first).filter(move |&id| stands(id));
-        let rest = self.successors(point).enumerate();
-        near.chain(rest.filter(move |&(i, id)| i >= first || !stands(id)).map(|(_, id)| id))
-    }
-
-    /// Sends a request to its next successor, or answers it when none may have it.
-    fn advance(&mut self, now: Micros, id: CallId, out: &mut Vec<Action>) {
-        self.sum_up(now);
+        let own = self
+            .settings
+            .zone
+            .filter(|_| self.settings.cross_zone_price >= MIN_LOCAL_ZONE_PRICE * zones as f64);
+        let is_local = move |id| own.is_some() && self.hosts.get(&id).map(|h| h.entry.zone) == Some(own);
+        let searched = own.map_or(0, |_| LOCAL_SUCCESSORS_PER_ZONE * zones);
+        let local = self.successors(ring_position).take(searched).filter(move |&id| is_local(id));
+        let rest = self.successors(ring_position).enumerate();
+        local.chain(rest.filter(move |&(i, id)| i >= searched || !is_local(id)).map(|(_, id)| id))
+    }
+
+    /// Sends a request to its next candidate, or answers it when none may have it.
+    fn send_or_answer(&mut self, now: Micros, id: CallId, out: &mut Vec<Action>) {
+        self.refresh_totals(now);
         let tenant = self.calls.get(&id).and_then(|c| c.tenant);
-        let tries = self.rations(tenant).map(|r| r.left(now)).fold(f64::INFINITY, f64::min);
-        let Some(c) = self.calls.get(&id).filter(|c| c.out.is_none()) else { return };
-        let pick = Some(c).filter(|c| c.sends == 0 || tries >= 1.0).and_then(|c| self.choose(now, c));
-        let most = self.sends(c);
+        let retries_left = self.binding_budgets(tenant).map(|r| r.left(now)).fold(f64::INFINITY, f64::min);
+        let Some(c) = self.calls.get(&id).filter(|c| c.host.is_none()) else { return };
+        let pick =
+            Some(c).filter(|c| c.attempts == 0 || retries_left >= 1.0).and_then(|c| self.choose_host(now, c));
+        let max_attempts = self.max_attempts(c);
         let Some(host) = pick else { return self.give_up(id, out) };
-        let doubtful = self.doubtful(now, c, host);
+        let needs_probe = self.needs_probe(now, c, host);
         let Some(c) = self.calls.get_mut(&id) else { return };
-        if doubtful {
-            // Held for a probe, which costs no attempt of its budget.
+        if needs_probe {
+            // Held until the probe is answered, which does not count as an attempt.
             c.probes += 1;
-            return self.ask_host(now, host, out).push(id);
+            return self.probe(now, host, out).push(id);
         }
-        let further = c.sends > 0;
-        let tries = if further { tries - 1.0 } else { tries };
-        (c.sends, c.sent_at) = (c.sends + 1, now);
+        let is_retry = c.attempts > 0;
+        let retries_left = if is_retry { retries_left - 1.0 } else { retries_left };
+        (c.attempts, c.sent_at) = (c.attempts + 1, now);
         c.tried.push(host);
-        // Set up after its aim it is late anyway: the next successor is the better bet, if there is one more.
+        // A set-up that misses its target is late anyway: the next candidate is more likely to succeed, if
+        // one more attempt is allowed.
         let left = c.deadline - now;
-        let aim = self.settings.classes.get(c.class).map_or(left, |class| class.setup_target);
-        let patience = if c.sends < most && tries >= 1.0 && aim > 0 { aim.min(left) } else { left };
-        if let Some(h) = self.hosts.get_mut(&host).filter(|h| h.fails > 0) {
-            // Half-open: one trial at a time, until it is answered.
-            h.ejected_until = now + EJECT;
+        let target = self.settings.classes.get(c.class).map_or(left, |class| class.setup_target);
+        let patience = if c.attempts < max_attempts && retries_left >= 1.0 && target > 0 {
+            target.min(left)
+        } else {
+            left
+        };
+        if let Some(h) = self.hosts.get_mut(&host).filter(|h| h.failures > 0) {
+            // Half-open: one attempt at a time until it is answered.
+            h.ejected_until = now + EJECTION_TIME;
         }
-        if further {
-            self.rations(tenant).for_each(|r| r.further.push_back(now));
+        if is_retry {
+            self.binding_budgets(tenant).for_each(|r| r.retries.push_back(now));
         }
-        self.spend(now, host, &id);
+        self.spend_cold_tokens(now, host, &id);
         self.attach(&id, host);
         out.push(Action::Send { call: id, host, patience });
     }
 
-    /// Whether a host is probed before a request is sent there: this node has seen no sign of it for a while,
-    /// and there is cause for doubt. In calm times nothing is probed.
-    fn doubtful(&self, now: Micros, c: &Call, id: HostId) -> bool {
+    /// Whether a host is probed before a request is sent there: this node has no recent evidence that the
+    /// host serves, and there is cause for doubt. Without trouble no host is probed.
+    fn needs_probe(&self, now: Micros, c: &Call, id: HostId) -> bool {
         let Some(h) = self.hosts.get(&id).filter(|_| self.settings.limits.probes) else { return false };
-        let trouble = self.trouble.is_some_and(|at| now < at.saturating_add(TROUBLE));
-        let cause = c.returned || c.sends > 0 || h.unlisted.is_some() || h.unproven || trouble;
-        cause && !h.fresh(now) && c.probes <= CANDIDATE_HOSTS && now + self.probe_wait() < c.deadline
+        let trouble = self.last_trouble.is_some_and(|at| now < at.saturating_add(DOUBT_PERIOD));
+        let cause = c.returned || c.attempts > 0 || h.unlisted_since.is_some() || h.unproven || trouble;
+        cause
+            && !h.recently_seen(now)
+            && c.probes <= CANDIDATE_HOSTS
+            && now + self.probe_timeout() < c.deadline
     }
 
-    fn probe_wait(&self) -> Micros {
-        self.settings.classes.iter().map(|c| c.setup_target).min().unwrap_or(0) / PROBE_PART
+    fn probe_timeout(&self) -> Micros {
+        self.settings.classes.iter().map(|c| c.setup_target).min().unwrap_or(0) / PROBES_PER_SETUP_TARGET
     }
 
-    fn ask_host(&mut self, now: Micros, host: HostId, out: &mut Vec<Action>) -> &mut Vec<CallId> {
-        let at = now + self.probe_wait();
-        let probe = self.waiting.entry(host).or_insert_with(|| {
-            out.extend([Action::Probe { host }, Action::Timer { at, token: T_PROBE | u64::from(host) }]);
+    /// Probes a host unless a probe is under way there; returns the list of requests that wait for it.
+    fn probe(&mut self, now: Micros, host: HostId, out: &mut Vec<Action>) -> &mut Vec<CallId> {
+        let at = now + self.probe_timeout();
+        let probe = self.pending_probes.entry(host).or_insert_with(|| {
+            out.extend([Action::Probe { host }, Action::Timer { at, token: PROBE_TIMER | u64::from(host) }]);
             (at, Vec::new())
         });
         &mut probe.1
     }
 
-    /// A probe's answer, or the end of its time: leave for a trial and no more.
-    fn probed(&mut self, now: Micros, id: HostId, ok: bool, load: Option<f64>, out: &mut Vec<Action>) {
-        let Some((_, calls)) = self.waiting.remove(&id) else { return };
+    /// Handles a probe's answer or timeout, and continues with the requests that waited for it. A positive
+    /// answer permits an attempt and proves no more.
+    fn finish_probe(&mut self, now: Micros, id: HostId, ok: bool, load: Option<f64>, out: &mut Vec<Action>) {
+        let Some((_, calls)) = self.pending_probes.remove(&id) else { return };
         if !ok {
-            self.failed(now, id, 0);
+            self.record_failure(now, id, 0);
         } else if let Some(h) = self.hosts.get_mut(&id) {
-            (h.seen, h.load) = (Some(now), load.unwrap_or(0.0));
-            if let Some(load) = load.filter(|&load| load >= BUSY.1) {
-                self.overloaded(now, id, CUT / load);
+            (h.last_seen, h.reported_load) = (Some(now), load.unwrap_or(0.0));
+            if let Some(load) = load.filter(|&load| load >= FULL_UTILIZATION) {
+                self.lower_ceiling(now, id, OVERLOAD_KEEP_SHARE / load);
             }
         }
-        calls.into_iter().for_each(|call| self.advance(now, call, out));
+        calls.into_iter().for_each(|call| self.send_or_answer(now, call, out));
     }
 
-    /// The retry budgets that bind a tenant's requests: its own and that over all.
-    fn rations(&mut self, tenant: Option<usize>) -> impl Iterator<Item = &mut Ration> {
-        let last = self.rations.len() - 1;
-        let bind = move |i: usize| i == last || Some(i) == tenant;
-        let all = self.rations.iter_mut().enumerate();
-        all.filter(move |(i, r)| bind(*i) && r.budget.is_some()).map(|(_, r)| r)
+    /// Returns the retry budgets that bind a tenant's requests: its own and the one over all tenants.
+    fn binding_budgets(&mut self, tenant: Option<usize>) -> impl Iterator<Item = &mut RetryWindow> {
+        let last = self.retry_windows.len() - 1;
+        let binds = move |i: usize| i == last || Some(i) == tenant;
+        let all = self.retry_windows.iter_mut().enumerate();
+        all.filter(move |(i, r)| binds(*i) && r.budget.is_some()).map(|(_, r)| r)
     }
 
-    /// Most attempts for a request: the least of what the deployment and its tenant's contract allow.
-    fn sends(&self, c: &Call) -> u32 {
+    /// Returns the most attempts for a request that both the deployment and its tenant's contract allow.
+    fn max_attempts(&self, c: &Call) -> u32 {
         let own = c.tenant.and_then(|t| self.settings.tenants[t].sends);
         own.unwrap_or(u32::MAX).min(self.settings.limits.max_attempts)
     }
 
-    /// The first successor that may have a request and has room for it: under its bounded share of this
-    /// node's load and under its ceiling. Room is looked for at `SPREAD` hosts; if all that they lack is a
-    /// share of this node's load, the first of them has it. One that is ejected is the last resort, and is
-    /// tried only when more than half of the hosts are ejected: then the own view is suspect.
-    fn choose(&self, now: Micros, c: &Call) -> Option<HostId> {
-        if c.sends >= self.sends(c) || now >= c.deadline || !self.bears(c) {
+    /// Returns the first candidate that may have a request and has room for it: under its bounded share of
+    /// this node's load and under its ceiling. Room is looked for at `CANDIDATE_HOSTS` hosts; if all that
+    /// they lack is a share of this node's load, the first of them is returned. An ejected host is the last
+    /// resort, and only when more than half of the hosts are ejected: then this node's own view is suspect.
+    fn choose_host(&self, now: Micros, c: &Call) -> Option<HostId> {
+        if c.attempts >= self.max_attempts(c) || now >= c.deadline || !self.fleet_has_room(c) {
             return None;
         }
         let mean = self.mean_load(self.settings.classes.len());
-        let all = self.load_in(&self.book) + self.load(c);
-        let share = BOUND * all / self.totals.size.max(f64::MIN_POSITIVE);
-        let part = if self.over_share(c) { OVER_SHARE.1 } else { 1.0 };
-        // Nodes that see little fill hosts by size only if each lets in so many of its clients. By the
-        // square: a host pays the same for a group or a heavy connection whatever its size.
-        let little = self.little();
-        let largest = self.ready().filter(|_| little).map(|h| self.size_of(h)).fold(0.0, f64::max);
-        let (mut ejected, mut spare, mut home, mut full) = (None, None, None, 0);
-        for id in self.walk(c) {
+        let all = self.total_load(&self.tally) + self.load_of(c);
+        let share = BOUNDED_LOAD_FACTOR * all / self.totals.size.max(f64::MIN_POSITIVE);
+        let part = if self.over_share(c) { OVER_SHARE_CEILING_PART } else { 1.0 };
+        // Where nodes have a sparse view, hosts are filled by size only if each admits a part of its clients
+        // that depends on its size. The part grows with the square of the size, because a group or a heavy
+        // connection costs a host the same whatever its size.
+        let sparse_view = self.has_sparse_view();
+        let largest = self.ready().filter(|_| sparse_view).map(|h| self.size_of(h)).fold(0.0, f64::max);
+        let (mut ejected, mut spare, mut home, mut considered) = (None, None, None, 0);
+        for id in self.candidates(c) {
             let Some(h) = self.hosts.get(&id) else { continue };
-            let home = *home.get_or_insert(id) == id;
-            if !self.may_send(now, c, id) {
+            let at_home = *home.get_or_insert(id) == id;
+            if !self.may_attempt(now, c, id) {
                 continue;
             }
             if now < h.ejected_until {
                 ejected.get_or_insert(id);
                 continue;
             }
-            let joins = c.grouped && !h.groups.contains_key(&c.point);
-            let load = self.load_in(&h.book) + if joins { self.group_cost() * mean } else { 0.0 };
-            let small = draw(!id, c.own).sqrt() * largest >= self.size_of(h);
-            let fits = load + c.turn(id, home, little) * self.load(c) < part * self.ceiling(now, h);
-            let busy = c.probes > 0 && h.fresh(now) && h.load > BUSY.0;
-            if fits && !small && !busy && load < share * self.size_of(h) + SLACK * mean {
+            let joins = c.grouped && !h.groups.contains_key(&c.ring_position);
+            let load = self.total_load(&h.tally) + if joins { self.group_cost() * mean } else { 0.0 };
+            let too_small = host_fraction(!id, c.client_hash).sqrt() * largest >= self.size_of(h);
+            let fits = load + c.admission_rank(id, at_home, sparse_view) * self.load_of(c)
+                < part * self.ceiling(now, h);
+            let busy = c.probes > 0 && h.recently_seen(now) && h.reported_load > BUSY_UTILIZATION;
+            if fits
+                && !too_small
+                && !busy
+                && load < share * self.size_of(h) + BOUNDED_LOAD_SLACK_CONNECTIONS * mean
+            {
                 return Some(id);
             }
             if fits {
                 spare.get_or_insert(id);
             }
-            full += u32::from(!small);
-            let far = spare.is_none() && self.settings.peers_total <= SMALL_FLEET_NODES;
-            if full >= if far { CANDIDATE_HOSTS_IN_SMALL_FLEET } else { CANDIDATE_HOSTS } {
+            considered += u32::from(!too_small);
+            let search_on = spare.is_none() && self.settings.peers_total <= SMALL_FLEET_NODES;
+            if considered >= if search_on { CANDIDATE_HOSTS_IN_SMALL_FLEET } else { CANDIDATE_HOSTS } {
                 break;
             }
         }
-        let out = || self.ready().filter(|h| now < h.ejected_until).count();
-        spare.or(ejected.filter(|_| 2 * out() > self.ready().count()))
+        let ejected_hosts = || self.ready().filter(|h| now < h.ejected_until).count();
+        spare.or(ejected.filter(|_| 2 * ejected_hosts() > self.ready().count()))
     }
 
+    /// Whether a request's tenant is over its share at this node, where that share counts.
     fn over_share(&self, c: &Call) -> bool {
         let Some((t, tenant)) = c.tenant.and_then(|t| Some((t, self.settings.tenants.get(t)?))) else {
             return false;
@@ -790,178 +917,214 @@
         let all = self.held[self.settings.tenants.len()];
         let quota = tenant.quota.unwrap_or(0.0) / f64::from(self.settings.peers_total.max(1));
         let part = quota.max(tenant.fraction * f64::from(all));
-        self.settings.over_share_worth < 1.0 && f64::from(self.held[t]) > OVER_SHARE.0 * part
+        self.settings.over_share_worth < 1.0 && f64::from(self.held[t]) > OVER_SHARE_TOLERANCE * part
     }
 
-    /// Sums up the ready hosts; what is under a second old will do, for shares move slowly.
-    fn sum_up(&mut self, now: Micros) {
-        if self.totals.at.is_some_and(|at| now < at.saturating_add(FRESH)) && self.totals.size > 0.0 {
+    /// Computes the totals over the ready hosts, unless they are recent: shares change slowly.
+    fn refresh_totals(&mut self, now: Micros) {
+        if self.totals.at.is_some_and(|at| now < at.saturating_add(TOTALS_MAX_AGE)) && self.totals.size > 0.0
+        {
             return;
         }
-        let able =
+        let usable_size =
             |h: &Host| if now >= h.ejected_until { self.warmth(now, h) * self.size_of(h) } else { 0.0 };
-        let (ready, size) = self.ready().fold((0, 0.0), |(n, size), h| (n + 1, size + able(h)));
-        self.totals = Totals { ready, size, at: Some(now) };
+        let (hosts, size) = self.ready().fold((0, 0.0), |(n, size), h| (n + 1, size + usable_size(h)));
+        self.totals = Totals { hosts, size, at: Some(now) };
     }
 
-    /// A message takes this long at a host. Guards against whatever makes it slow. Hurts where all are slow.
-    fn delay_told(&mut self, now: Micros, id: HostId, delay: Micros, out: &mut Vec<Action>) {
-        let aim = self.shortest_aim();
+    /// Handles the report that a message takes this long at a host. Protects clients from a host that is slow
+    /// for any reason. Makes things worse where all hosts are slow.
+    fn record_delay(&mut self, now: Micros, id: HostId, delay: Micros, out: &mut Vec<Action>) {
+        let target = self.shortest_delay_target();
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        if delay < aim {
+        if delay < target {
             host.late = None;
         }
-        if delay < aim / 3 {
+        if delay < target / CAUTION_DELAY_DIVISOR {
             return;
         }
-        if delay < aim {
-            return self.overloaded(now, id, 1.0);
+        if delay < target {
+            return self.lower_ceiling(now, id, 1.0);
         }
         let first = host.late.is_none();
         let (since, _) = *host.late.get_or_insert((now, delay));
-        if self.settings.limits.probes_report_load && now < since + LASTING {
-            // A pause, or one late message? A probe tells whether the host is busy; if it is not, it may be
-            // over before anyone has moved.
+        if self.settings.limits.probes_report_load && now < since + SUSTAINED_DELAY {
+            // It may be a pause or a single late message. A probe shows whether the host is busy; if it is
+            // not, the pause may end before any connection has moved.
             if first {
-                self.ask_host(now, id, out);
+                self.probe(now, id, out);
             }
             return;
         }
-        self.relieve(now, id, delay, out);
+        self.relieve_overload(now, id, delay, out);
     }
 
-    /// What this node may have at a host: under the learned ceiling, and under the plan or a bounded share of
-    /// this node's load if that is more: nodes do not see equal parts of the traffic.
+    /// Returns the largest load that this node may have at a host: at most the learned ceiling, and at most
+    /// the planned load or a bounded share of this node's load, whichever is more, because nodes do not see
+    /// equal parts of the traffic.
     fn ceiling(&self, now: Micros, h: &Host) -> f64 {
-        let share = BOUND * self.load_in(&self.book) / self.totals.size.max(f64::MIN_POSITIVE);
-        h.ceiling_at(now).min(h.planned.max(share * self.size_of(h)))
+        let share =
+            BOUNDED_LOAD_FACTOR * self.total_load(&self.tally) / self.totals.size.max(f64::MIN_POSITIVE);
+        h.learned_ceiling_at(now).min(h.planned_load.max(share * self.size_of(h)))
     }
 
-    /// A load was told: moves off its host what is past the ceiling there, once a second at most.
+    /// After a load report: moves off the connection's host what is past the ceiling there, once a second at
+    /// most.
     fn unload(&mut self, now: Micros, call: &CallId, out: &mut Vec<Action>) {
-        let Some(id) = self.calls.get(call).and_then(|c| c.out) else { return };
-        let past = |h: &Host| {
-            self.load_in(&h.book) > PLANNED.1 * self.ceiling(now, h) && now >= h.unloaded_at + 900_000
+        let Some(id) = self.calls.get(call).and_then(|c| c.host) else { return };
+        let past_ceiling = |h: &Host| {
+            self.total_load(&h.tally) > UNLOAD_CEILING_FACTOR * self.ceiling(now, h)
+                && now >= h.unloaded_at + MIN_ADJUSTMENT_INTERVAL
         };
-        if self.hosts.get(&id).is_some_and(past) {
+        if self.hosts.get(&id).is_some_and(past_ceiling) {
             self.hosts.entry(id).and_modify(|h| h.unloaded_at = now);
-            self.shed(now, id, out);
+            self.move_excess(now, id, out);
         }
     }
 
-    /// Messages at a host are late, and it is no pause: cuts its ceiling and moves who suffers.
-    fn relieve(&mut self, now: Micros, id: HostId, delay: Micros, out: &mut Vec<Action>) {
-        let aim = self.shortest_aim();
-        self.trouble = Some(now);
-        let late = (2.0 * aim as f64 / delay as f64).min(1.0);
-        let keep = if delay > DEAD { 0.0 } else { CUT * late.powf(self.sparse()) };
-        self.overloaded(now, id, keep);
-        self.shed(now, id, out);
+    /// Handles late messages at a host that are not a mere pause: lowers its ceiling and moves the
+    /// connections that no longer fit under it.
+    fn relieve_overload(&mut self, now: Micros, id: HostId, delay: Micros, out: &mut Vec<Action>) {
+        let target = self.shortest_delay_target();
+        self.last_trouble = Some(now);
+        let late = (2.0 * target as f64 / delay as f64).min(1.0);
+        let keep = if delay > STOPPED_HOST_DELAY {
+            0.0
+        } else {
+            OVERLOAD_KEEP_SHARE * late.powf(self.hidden_share())
+        };
+        self.lower_ceiling(now, id, keep);
+        self.move_excess(now, id, out);
     }
 
-    fn shortest_aim(&self) -> Micros {
-        let aims = self.settings.classes.iter().map(|c| c.message_delay_target).filter(|&a| a > 0);
-        aims.min().unwrap_or(Micros::MAX)
+    fn shortest_delay_target(&self) -> Micros {
+        let targets = self.settings.classes.iter().map(|c| c.message_delay_target).filter(|&a| a > 0);
+        targets.min().unwrap_or(Micros::MAX)
     }
 
-    /// How much of the fleet's traffic is hidden from this node: 0 where it holds a mean connection at every
-    /// host or more, towards 1 where it holds next to nothing. A node that sees little meets each overload
-    /// anew, so the later the messages, the deeper it cuts at once, and for longer.
-    fn sparse(&self) -> f64 {
-        let mean = self.mean_load(self.settings.classes.len()) * self.totals.ready as f64;
-        (1.0 - self.load_in(&self.book) / mean.max(f64::MIN_POSITIVE)).max(0.0)
+    /// Returns the share of the fleet's traffic that is hidden from this node: 0 where it holds a mean
+    /// connection or more for every host, near 1 where it holds almost nothing. To a node with a sparse view
+    /// each overload is new, so the later the messages, the deeper its first cut and the longer it lasts.
+    fn hidden_share(&self) -> f64 {
+        let mean = self.mean_load(self.settings.classes.len()) * self.totals.hosts as f64;
+        (1.0 - self.total_load(&self.tally) / mean.max(f64::MIN_POSITIVE)).max(0.0)
     }
 
-    /// This node is one of many and sees little: it must do alone what is right if all do it.
-    fn little(&self) -> bool {
-        self.many() && self.sparse() > LITTLE
+    /// Whether this node is one of many and sees little of the traffic: it must then do by itself what is
+    /// right if all nodes do it.
+    fn has_sparse_view(&self) -> bool {
+        self.in_large_fleet() && self.hidden_share() > SPARSE_VIEW_THRESHOLD
     }
 
-    fn many(&self) -> bool {
+    fn in_large_fleet(&self) -> bool {
         self.settings.peers_total > SMALL_FLEET_NODES
     }
 
-    /// An attempt failed there. Guards against hosts that are silent, fail fast or break what they are sent.
-    fn failed(&mut self, now: Micros, id: HostId, least: u32) {
-        self.trouble = Some(now);
+    /// Counts a failure and ejects the host for a while. Protects requests from hosts that do not answer,
+    /// fail fast or break connections. `least`: number of earlier failures that it counts for at least.
+    fn record_failure(&mut self, now: Micros, id: HostId, least: u32) {
+        self.last_trouble = Some(now);
         if let Some(host) = self.hosts.get_mut(&id) {
-            // If it is also unlisted, two that do not know of each other say so; if it never served, nothing
-            // speaks for it but the list.
-            host.fails = host.fails.max(if host.unlisted.is_some() || host.unproven { 5 } else { least });
-            host.ejected_until = now + (EJECT << host.fails.min(5));
-            host.fails = host.fails.saturating_add(1);
+            // For an unlisted host two independent sources agree that it is gone; for a host that never
+            // served only the list says that it exists.
+            host.failures = host.failures.max(if host.unlisted_since.is_some() || host.unproven {
+                MAX_EJECTION_DOUBLINGS
+            } else {
+                least
+            });
+            host.ejected_until = now + (EJECTION_TIME << host.failures.min(MAX_EJECTION_DOUBLINGS));
+            host.failures = host.failures.saturating_add(1);
         }
     }
 
-    /// Lowers a host's ceiling to a part of what this node has there, once a second at most: sooner the last
-    /// cut cannot have shown. It may fall under one connection: see `Call::turn`.
-    fn overloaded(&mut self, now: Micros, id: HostId, keep: f64) {
-        let (sparse, least) = (self.sparse(), LEAST * self.mean_load(self.settings.classes.len()));
-        let load = self.hosts.get(&id).map_or(0.0, |h| self.load_in(&h.book));
+    /// Lowers a host's ceiling to a share of what this node has there, once a second at most: earlier, the
+    /// last cut cannot have shown its effect. The ceiling may fall below one connection: see
+    /// `Call::admission_rank`.
+    fn lower_ceiling(&mut self, now: Micros, id: HostId, keep: f64) {
+        let (hidden_share, least) =
+            (self.hidden_share(), MIN_CEILING_CONNECTIONS * self.mean_load(self.settings.classes.len()));
+        let load = self.hosts.get(&id).map_or(0.0, |h| self.total_load(&h.tally));
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        if now >= host.ceiling.1 + 900_000 || host.ceiling.0.is_infinite() {
-            host.ceiling = ((load.min(host.ceiling_at(now)) * keep).max(least), now);
-            host.growth = CEILING_GROWTH * (1.0 + sparse);
+        if now >= host.learned_ceiling.1 + MIN_ADJUSTMENT_INTERVAL || host.learned_ceiling.0.is_infinite() {
+            host.learned_ceiling = ((load.min(host.learned_ceiling_at(now)) * keep).max(least), now);
+            host.ceiling_growth_time = CEILING_GROWTH_TIME_US * (1.0 + hidden_share);
         }
     }
 
-    /// Moves connections off a host until this node is under its ceiling there: whoever would not be let in
-    /// if it came now, and only where its walk finds room. The smallest parts of groups go first, then heavy
-    /// ones, and what is half of the load or more last: the others leave it.
-    fn shed(&mut self, now: Micros, id: HostId, out: &mut Vec<Action>) {
+    /// Moves connections off a host until this node is under its ceiling there: those that would not be
+    /// admitted if they came now, and only where another candidate has room. The smallest parts of groups go
+    /// first, then heavy connections. A connection that is half of the load or more goes last, since the
+    /// others make way for it.
+    fn move_excess(&mut self, now: Micros, id: HostId, out: &mut Vec<Action>) {
         let Some(host) = self.hosts.get(&id) else { return };
-        let load = self.load_in(&host.book);
-        let part = |c: &Call| host.groups.get(&c.point).copied().unwrap_or(0);
-        let there = |c: &Call| c.begun && !c.leaving;
-        let standing = host.calls.iter().filter_map(|k| Some((k, self.calls.get(k).filter(|c| there(c))?)));
-        let mut list: Vec<(bool, u32, f64, CallId)> =
-            standing.map(|(k, c)| (self.load(c) >= load / 2.0, part(c), self.load(c), k.clone())).collect();
+        let load = self.total_load(&host.tally);
+        let group_part = |c: &Call| host.groups.get(&c.ring_position).copied().unwrap_or(0);
+        let is_standing = |c: &Call| c.established && !c.moving;
+        let standing =
+            host.calls.iter().filter_map(|k| Some((k, self.calls.get(k).filter(|c| is_standing(c))?)));
+        let mut list: Vec<(bool, u32, f64, CallId)> = standing
+            .map(|(k, c)| (self.load_of(c) >= load / 2.0, group_part(c), self.load_of(c), k.clone()))
+            .collect();
         list.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)).then(b.2.total_cmp(&a.2)));
         for (_, _, weight, call) in list {
             let Some((h, c)) = self.hosts.get(&id).zip(self.calls.get(&call)) else { continue };
-            let home = self.walk(c).next() == Some(id);
-            let fits = self.load_in(&h.book) - (1.0 - c.turn(id, home, self.little())) * weight
+            let at_home = self.candidates(c).next() == Some(id);
+            let fits = self.total_load(&h.tally)
+                - (1.0 - c.admission_rank(id, at_home, self.has_sparse_view())) * weight
                 < self.ceiling(now, h);
-            let again =
-                Call { sends: 0, deadline: Micros::MAX, tried: vec![id], maybe_ran: None, ..c.clone() };
-            let to = if fits { None } else { self.choose(now, &again) };
+            let anew =
+                Call { attempts: 0, deadline: Micros::MAX, tried: vec![id], maybe_ran: None, ..c.clone() };
+            let to = if fits { None } else { self.choose_host(now, &anew) };
             let Some(to) = to else { continue };
             self.detach(&call);
             self.attach(&call, to);
-            self.calls.entry(call.clone()).and_modify(|c| c.leaving = true);
+            self.calls.entry(call.clone()).and_modify(|c| c.moving = true);
             out.push(Action::Move { call });
         }
     }
 
+    /// Returns the hosts that are listed as ready, without those that failed while unlisted and those that
+    /// are not proven yet.
     fn ready(&self) -> impl Iterator<Item = &Host> {
-        let there = |h: &&Host| (h.unlisted.is_none() || h.fails == 0) && !h.unproven;
-        self.hosts.values().filter(|h| h.entry.state == HostState::Ready).filter(there)
+        let present = |h: &&Host| (h.unlisted_since.is_none() || h.failures == 0) && !h.unproven;
+        self.hosts.values().filter(|h| h.entry.state == HostState::Ready).filter(present)
     }
 
     fn size_of(&self, host: &Host) -> f64 {
-        let told = |weight: &f64| self.settings.weights_are_sizes && weight.is_finite() && *weight > 0.0;
-        Some(host.entry.weight).filter(told).unwrap_or(1.0)
+        let is_size = |weight: &f64| self.settings.weights_are_sizes && weight.is_finite() && *weight > 0.0;
+        Some(host.entry.weight).filter(is_size).unwrap_or(1.0)
     }
 
-    /// What a group costs a host as this node's part of it.
+    /// Returns this node's part of what a group costs a host, in mean connections.
     fn group_cost(&self) -> f64 {
-        (GROUP / f64::from(self.settings.peers_total.max(1))).min(GROUP / 3.0)
+        (GROUP_COST_CONNECTIONS / f64::from(self.settings.peers_total.max(1)))
+            .min(GROUP_COST_CONNECTIONS / 3.0)
     }
 
-    fn load_in(&self, book: &Book) -> f64 {
-        let unknown = book.unknown.iter().enumerate().filter(|(_, &n)| n > 0);
-        let groups = self.group_cost() * book.groups as f64 * self.mean_load(self.settings.classes.len());
-        book.known.0 + groups + unknown.map(|(class, &n)| f64::from(n) * self.mean_load(class)).sum::<f64>()
+    /// Returns the load of all that a tally counts, with the cost of its groups; a connection without a
+    /// reported load counts with the mean of its class.
+    fn total_load(&self, tally: &LoadTally) -> f64 {
+        let unreported = tally.unreported.iter().enumerate().filter(|(_, &n)| n > 0);
+        let groups = self.group_cost() * tally.groups as f64 * self.mean_load(self.settings.classes.len());
+        tally.reported.0
+            + groups
+            + unreported.map(|(class, &n)| f64::from(n) * self.mean_load(class)).sum::<f64>()
     }
 
-    /// The rules on one attempt: drains, and no effect twice.
-    fn may_send(&self, now: Micros, c: &Call, id: HostId) -> bool {
+    /// Whether an attempt at a host is allowed: the host takes connections, was not tried for this request,
+    /// an effect cannot happen twice, and a cold host has room.
+    fn may_attempt(&self, now: Micros, c: &Call, id: HostId) -> bool {
         let Some(host) = self.hosts.get(&id) else { return false };
-        let grace = || c.mid_flow && now < host.told_at.saturating_add(self.settings.rules.drain_grace);
-        let open = host.entry.state == HostState::Ready || host.entry.state == HostState::Draining && grace();
-        open && !c.tried.contains(&id) && self.may_repeat(now, c, id) && self.cold_room(now, id, host, c)
+        let in_grace =
+            || c.mid_flow && now < host.state_since.saturating_add(self.settings.rules.drain_grace);
+        let open =
+            host.entry.state == HostState::Ready || host.entry.state == HostState::Draining && in_grace();
+        open && !c.tried.contains(&id)
+            && self.may_repeat(now, c, id)
+            && self.cold_host_admits(now, id, host, c)
     }
 
+    /// Returns the share of its capacity that a host has reached since its start.
     fn warmth(&self, now: Micros, host: &Host) -> f64 {
         let rules = &self.settings.rules;
         let age = now.saturating_sub(host.entry.ready_at);
@@ -971,92 +1134,128 @@
         rules.cold_share + (1.0 - rules.cold_share) * age as f64 / rules.warmup_time as f64
     }
 
-    /// Cold budget in hand at a host: how many mean connections it may be sent now, and how fast that grows.
-    /// This node's even share of its own arrivals stands for its part of a host's capacity, which may be far
-    /// under one connection. One of many nodes saves up a whole one: it seldom meets the host. Few nodes meet
-    /// it all the time, and would spend what each had saved together: they save no more than their part.
+    /// Returns the cold budget in hand at a host: the number of mean connections that it may be sent now. The
+    /// budget grows with this node's even share of its own arrivals, which stands for its part of the host's
+    /// capacity and may be far below one connection. A node of a large fleet saves up to one whole token,
+    /// since it seldom meets the host. The nodes of a small fleet meet it all the time and would spend their
+    /// savings together, so each saves no more than its part.
     fn cold_tokens(&self, now: Micros, host: &Host, warmth: f64) -> f64 {
         let rules = &self.settings.rules;
-        let even = self.steady_rate(now) / self.hosts.len().max(1) as f64;
-        let pace = rules.overload_factor * warmth * even * HEADROOM;
-        let most = (pace * rules.overload_failure_time as f64 / 2.0).max(if self.many() { 1.0 } else { 0.0 });
-        (host.tokens.0 + pace * now.saturating_sub(host.tokens.1) as f64).min(most)
+        let even_share = self.steady_rate(now) / self.hosts.len().max(1) as f64;
+        let rate = rules.overload_factor * warmth * even_share * CAPACITY_PER_EVEN_SHARE;
+        let most = (rate * rules.overload_failure_time as f64 / 2.0).max(if self.in_large_fleet() {
+            1.0
+        } else {
+            0.0
+        });
+        (host.cold_tokens.0 + rate * now.saturating_sub(host.cold_tokens.1) as f64).min(most)
     }
 
-    /// The budget at a host that starts, by chance: the first sends of all nodes are then far apart.
-    fn cold_turn(&mut self) -> f64 {
-        self.chance() - if self.many() { 0.0 } else { 1.0 }
+    /// Returns a random cold budget for a host that starts, so that the first sends of all nodes are far
+    /// apart.
+    fn initial_cold_tokens(&mut self) -> f64 {
+        self.random_fraction() - if self.in_large_fleet() { 0.0 } else { 1.0 }
     }
 
-    /// Rule four: guards a cold host against all sends of this node, refused and retried ones too. Of first
-    /// tries of new clients, the steady traffic, it takes a known part: that is let in by the client's turn,
-    /// for tokens would come too late, but not while the budget is overdrawn. Of what may come in waves
-    /// (returning clients, further tries) a smaller part is; the rest needs a token or chance.
-    fn cold_room(&self, now: Micros, id: HostId, host: &Host, c: &Call) -> bool {
+    /// Whether a cold host has room for a request. Rule four: limits all that this node sends to a cold host,
+    /// refused and repeated requests included. First attempts of new clients, the steady traffic, are a known
+    /// part and are admitted by the client's hash, because tokens would come too late for them, but not while
+    /// the budget is overdrawn. Of traffic that may come in waves (returning clients, retries) a smaller part
+    /// is admitted so; the rest needs a token or chance.
+    fn cold_host_admits(&self, now: Micros, id: HostId, host: &Host, c: &Call) -> bool {
         let warmth = self.warmth(now, host);
-        let part = self.settings.rules.overload_factor * warmth * STEADY * self.steadiness(now);
-        let wave = if c.returned || c.sends > 0 { warmth * (1.0 - self.sparse()) } else { 1.0 };
-        let load = if self.many() { 1.0 } else { self.load(c) / self.mean() };
+        let part = self.settings.rules.overload_factor * warmth * COLD_STEADY_SHARE * self.steadiness(now);
+        let wave_factor =
+            if c.returned || c.attempts > 0 { warmth * (1.0 - self.hidden_share()) } else { 1.0 };
+        let load = if self.in_large_fleet() { 1.0 } else { self.load_of(c) / self.mean_connection_load() };
         let tokens = self.cold_tokens(now, host, warmth);
-        let steady = tokens >= 0.0 && draw(id, c.own) * load < part * wave;
-        warmth >= 1.0 || tokens >= 1.0 || steady || self.cold_part(now, id, c, warmth, tokens)
-    }
-
-    /// Where no whole token is in hand: by chance, what all may send there since this node's arrival before
-    /// this one, the more the fewer walks meet the host. A walk passes so many that have room, each as often
-    /// as it is large, and the cold ones between: a host is met by its part of all: its own size cancels out.
-    fn cold_part(&self, now: Micros, id: HostId, c: &Call, warmth: f64, tokens: f64) -> bool {
+        let steady = tokens >= 0.0 && host_fraction(id, c.client_hash) * load < part * wave_factor;
+        warmth >= 1.0
+            || tokens >= 1.0
+            || steady
+            || self.cold_host_admits_by_chance(now, id, c, warmth, tokens)
+    }
+
+    /// Whether a cold host admits a request by chance, where no whole token is in hand. The chance covers
+    /// what all nodes may send there since this node's previous arrival, and is the higher the fewer searches
+    /// reach the host. A search passes `CANDIDATE_HOSTS` hosts that have room, each as often as it is large,
+    /// and the cold ones between them: a host is reached in proportion to its size, so its own size cancels
+    /// out.
+    fn cold_host_admits_by_chance(
+        &self,
+        now: Micros,
+        id: HostId,
+        c: &Call,
+        warmth: f64,
+        tokens: f64,
+    ) -> bool {
         let rules = &self.settings.rules;
-        let gap = (c.gap as f64).min(rules.overload_failure_time as f64);
-        let fills = if self.measures() {
-            SAFE.0 * self.totals.size * 1e6 / LIFE / f64::from(self.settings.peers_total)
+        let gap = (c.arrival_gap as f64).min(rules.overload_failure_time as f64);
+        let fill_rate = if self.knows_loads_in_sparse_view() {
+            COLD_ALLOWANCE_SPARSE_VIEW * self.totals.size * MICROS_PER_SECOND
+                / ASSUMED_LIFETIME_US
+                / f64::from(self.settings.peers_total)
         } else {
-            SAFE.1 * self.steady_rate(now) * HEADROOM * self.mean()
+            COLD_ALLOWANCE_SMALL_FLEET
+                * self.steady_rate(now)
+                * CAPACITY_PER_EVEN_SHARE
+                * self.mean_connection_load()
         };
-        let room = rules.overload_factor * warmth * fills / f64::from(CANDIDATE_HOSTS) * gap;
-        (self.measures() || !self.many() && tokens >= 0.0)
-            && draw(id, c.own ^ c.deadline) * self.load(c) < room
+        let room = rules.overload_factor * warmth * fill_rate / f64::from(CANDIDATE_HOSTS) * gap;
+        (self.knows_loads_in_sparse_view() || !self.in_large_fleet() && tokens >= 0.0)
+            && host_fraction(id, c.client_hash ^ c.deadline) * self.load_of(c) < room
     }
 
-    /// Whether the hosts as they are bear one client more at each node that holds as much: by chance, else
-    /// all would stand on late hosts. Who is refused comes back spread out.
-    fn bears(&self, c: &Call) -> bool {
-        let part = FULL * self.totals.size * 1e6 / f64::from(self.settings.peers_total);
+    /// Whether the hosts in their present state can take one more client at each node that holds as much as
+    /// this one. Decided by chance, for otherwise all clients would be left on late hosts. Refused clients
+    /// return spread over time.
+    fn fleet_has_room(&self, c: &Call) -> bool {
+        let part = SPARSE_VIEW_ADMISSION_SHARE * self.totals.size * MICROS_PER_SECOND
+            / f64::from(self.settings.peers_total);
         let (tenants, classes) = (self.settings.tenants.len(), self.settings.classes.len());
         let asked = f64::from(self.held[tenants] + 1) * self.mean_load(classes);
-        c.begun || c.sends > 0 || !self.measures() || draw(0, c.own ^ c.deadline) * asked < part
+        c.established
+            || c.attempts > 0
+            || !self.knows_loads_in_sparse_view()
+            || host_fraction(0, c.client_hash ^ c.deadline) * asked < part
     }
 
-    /// A node that sees little, but knows loads and sizes in the same unit.
-    fn measures(&self) -> bool {
-        self.settings.weights_are_sizes && self.told.last().is_some_and(|told| told.1 > 0.0) && self.little()
+    /// Whether this node has a sparse view, but knows loads and sizes in the same unit.
+    fn knows_loads_in_sparse_view(&self) -> bool {
+        self.settings.weights_are_sizes
+            && self.reported_loads.last().is_some_and(|loads| loads.1 > 0.0)
+            && self.has_sparse_view()
     }
 
-    fn spend(&mut self, now: Micros, id: HostId, call: &CallId) {
+    /// Takes a call's load out of the cold budget of a host.
+    fn spend_cold_tokens(&mut self, now: Micros, id: HostId, call: &CallId) {
         let Some((host, c)) = self.hosts.get(&id).zip(self.calls.get(call)) else { return };
         let warmth = self.warmth(now, host);
-        let left = self.cold_tokens(now, host, warmth) - self.load(c) / self.mean();
-        self.hosts.entry(id).and_modify(|h| h.tokens = (left, now));
+        let left = self.cold_tokens(now, host, warmth) - self.load_of(c) / self.mean_connection_load();
+        self.hosts.entry(id).and_modify(|h| h.cold_tokens = (left, now));
     }
 
-    /// The usual rate: clients that come again and again swell the arrivals, not the connections held.
+    /// Returns the usual rate of new connections a microsecond. Clients that return repeatedly raise the
+    /// arrivals but not the connections held, so those limit the rate.
     fn steady_rate(&self, now: Micros) -> f64 {
-        decayed(self.rate, now, RATE_HORIZON).min(self.calls.len() as f64 / RATE_HORIZON)
+        decayed(self.arrival_rate, now, RATE_HORIZON_US).min(self.calls.len() as f64 / RATE_HORIZON_US)
     }
 
+    /// Returns the steady rate as a share of the recent one: 1 in steady traffic, near 0 in a surge.
     fn steadiness(&self, now: Micros) -> f64 {
-        let recent = (decayed(self.surge, now, SURGE_HORIZON) - 1.0 / SURGE_HORIZON).max(0.0);
+        let recent = (decayed(self.recent_rate, now, SURGE_HORIZON_US) - 1.0 / SURGE_HORIZON_US).max(0.0);
         (self.steady_rate(now) / recent.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    fn arrived(&mut self, now: Micros) {
-        self.rate = (decayed(self.rate, now, RATE_HORIZON) + 1.0 / RATE_HORIZON, now);
-        self.surge = (decayed(self.surge, now, SURGE_HORIZON) + 1.0 / SURGE_HORIZON, now);
+    fn record_arrival(&mut self, now: Micros) {
+        self.arrival_rate = (decayed(self.arrival_rate, now, RATE_HORIZON_US) + 1.0 / RATE_HORIZON_US, now);
+        self.recent_rate = (decayed(self.recent_rate, now, SURGE_HORIZON_US) + 1.0 / SURGE_HORIZON_US, now);
     }
 
+    /// Returns the mean load reported for a class, for all classes where it has none, or else 1.
     fn mean_load(&self, class: usize) -> f64 {
-        let all = self.told.last().copied().unwrap_or_default();
-        let own = self.told.get(class).copied().unwrap_or_default();
+        let all = self.reported_loads.last().copied().unwrap_or_default();
+        let own = self.reported_loads.get(class).copied().unwrap_or_default();
         match (own.1 > 0.0, all.1 > 0.0) {
             (true, _) => own.0 / own.1,
             (_, true) => all.0 / all.1,
@@ -1064,62 +1263,67 @@
         }
     }
 
-    fn mean(&self) -> f64 {
+    /// Returns the mean load over all classes; never 0, so that it can be divided by.
+    fn mean_connection_load(&self) -> f64 {
         self.mean_load(self.settings.classes.len()).max(f64::MIN_POSITIVE)
     }
 
-    fn load(&self, c: &Call) -> f64 {
+    fn load_of(&self, c: &Call) -> f64 {
         c.load.unwrap_or_else(|| self.mean_load(c.class))
     }
 
-    /// A connection's load was told: counts it there and towards its class.
-    fn load_told(&mut self, id: &CallId, load: f64) {
+    /// Records a connection's reported load: counts it at its host and towards its class.
+    fn record_load(&mut self, id: &CallId, load: f64) {
         let Some(c) = self.calls.get(id).filter(|_| load.is_finite() && load >= 0.0) else { return };
-        let (class, at, last) = (c.class, c.out, self.told.len() - 1);
+        let (class, at, last) = (c.class, c.host, self.reported_loads.len() - 1);
         for i in BTreeSet::from([class.min(last), last]) {
-            self.told[i] = (self.told[i].0 + load, self.told[i].1 + 1.0);
+            self.reported_loads[i] = (self.reported_loads[i].0 + load, self.reported_loads[i].1 + 1.0);
         }
         self.detach(id);
         self.calls.entry(id.clone()).and_modify(|c| c.load = Some(load));
         at.into_iter().for_each(|host| self.attach(id, host));
     }
 
+    /// Counts a call at a host.
     fn attach(&mut self, id: &CallId, host: HostId) {
         if let Some(c) = self.calls.get_mut(id) {
-            c.out = Some(host);
+            c.host = Some(host);
             self.count(id, host, true);
         }
     }
 
+    /// Counts a call no longer at its host, if it has one.
     fn detach(&mut self, id: &CallId) {
-        if let Some(host) = self.calls.get_mut(id).and_then(|c| c.out.take()) {
+        if let Some(host) = self.calls.get_mut(id).and_then(|c| c.host.take()) {
             self.count(id, host, false);
         }
     }
 
-    fn count(&mut self, id: &CallId, host: HostId, into: bool) {
+    fn count(&mut self, id: &CallId, host: HostId, add: bool) {
         let Some(c) = self.calls.get(id) else { return };
         for i in c.tenant.into_iter().chain([self.settings.tenants.len()]) {
-            self.held[i] = if into { self.held[i] + 1 } else { self.held[i].saturating_sub(1) };
+            self.held[i] = if add { self.held[i] + 1 } else { self.held[i].saturating_sub(1) };
         }
         if let Some(h) = self.hosts.get_mut(&host) {
-            let groups = h.book.groups;
-            h.count(c, into);
-            if into {
+            let groups = h.tally.groups;
+            h.count(c, add);
+            if add {
                 h.calls.insert(id.clone());
             } else {
                 h.calls.remove(id);
             }
-            self.book.groups = self.book.groups + h.book.groups - groups;
+            self.tally.groups = self.tally.groups + h.tally.groups - groups;
         }
-        self.book.count(c.class, c.load, into);
+        self.tally.count(c.class, c.load, add);
     }
 
-    /// Whether an attempt may still be sent: its window may have closed since it was decided on.
+    /// Whether an attempt may still be sent: the time in which it may be repeated may have passed since the
+    /// decision.
     pub fn attempt_still_allowed(&self, now: Micros, call: &CallId, id: HostId) -> bool {
         self.calls.get(call).is_none_or(|c| self.may_repeat(now, c, id))
     }
 
+    /// Whether an attempt at a host cannot cause an effect twice.
     fn may_repeat(&self, now: Micros, c: &Call, id: HostId) -> bool {
         let Some((first, sent)) = c.maybe_ran else { return true };
         let Some(class) = self.settings.classes.get(c.class) else { return false };
@@ -1139,7 +1343,8 @@
         }
     }
 
-    /// The final answer when nothing more is tried: a refusal where that is honest, else a failure.
+    /// Gives the final answer when no further attempt is made: a refusal where it is certain that a repeat
+    /// does no harm, else a failure.
     fn give_up(&mut self, id: CallId, out: &mut Vec<Action>) {
         let Some(c) = self.calls.remove(&id) else { return };
         let class = self.settings.classes.get(c.class).map(|class| (class.repeat_safety, class.dedup_scope));
@@ -1147,25 +1352,26 @@
             class,
             Some((RepeatSafety::Idempotent, _) | (RepeatSafety::Deduplicated, DedupScope::All))
         );
-        let honest = c.maybe_ran.is_none() || repeatable;
-        // Spread by chance over all that is allowed (full jitter): those turned away now do not come at once.
-        let chance = self.chance();
-        let retry_after = self.settings.limits.max_retry_after.map(|most| (most as f64 * chance) as Micros);
-        out.push(if honest { Action::Refuse { call: id, retry_after } } else { Action::Fail { call: id } });
+        let harmless = c.maybe_ran.is_none() || repeatable;
+        // Full jitter: spread over all of the allowed time, so that refused clients do not return at once.
+        let fraction = self.random_fraction();
+        let retry_after = self.settings.limits.max_retry_after.map(|most| (most as f64 * fraction) as Micros);
+        out.push(if harmless { Action::Refuse { call: id, retry_after } } else { Action::Fail { call: id } });
     }
 
-    fn chance(&mut self) -> f64 {
+    /// Returns a random number from 0 to 1.
+    fn random_fraction(&mut self) -> f64 {
         self.random() as f64 / u64::MAX as f64
     }
 
     fn random(&mut self) -> u64 {
         self.rng = self.rng.wrapping_add(1);
-        xxh64(&self.rng.to_le_bytes(), CIRCLE)
+        xxh64(&self.rng.to_le_bytes(), RING_HASH_SEED)
     }
 }
 
-/// Which of `n` pieces a key belongs to (Lamping and Veach, jump consistent hash).
-fn jump(mut key: u64, n: u32) -> u32 {
+/// Returns which of `n` pieces a key belongs to (Lamping and Veach, jump consistent hash).
+fn jump_hash(mut key: u64, n: u32) -> u32 {
     let (mut b, mut j) = (0u64, 0u64);
     while j < u64::from(n) {
         b = j;
@@ -1175,23 +1381,26 @@
     b as u32
 }
 
-/// A host's draw, from 0 to 1, the same at every node.
-fn draw(host: HostId, seed: u64) -> f64 {
+/// Returns a host's hash under a seed as a number from 0 to 1, the same at every node.
+fn host_fraction(host: HostId, seed: u64) -> f64 {
     xxh64(&host.to_le_bytes(), seed) as f64 / u64::MAX as f64
 }
 
-fn segment(place: u64) -> usize {
-    (place >> 56) as usize % SEGMENTS
+/// Returns the segment that holds a place on the ring.
+fn ring_segment(place: u64) -> usize {
+    (place >> 56) as usize % RING_SEGMENTS
 }
 
-/// The place of a host's point n, from the host's own hash: the n-th output of SplitMix64 (Steele et al).
-fn mix(seed: u64, n: u64) -> u64 {
+/// Returns the place of a host's point `n`, from the host's own hash: the n-th output of SplitMix64 (Steele
+/// et al).
+fn ring_point(seed: u64, n: u64) -> u64 {
     let z = seed.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
+/// Returns a rate that decays exponentially over `horizon`, as of `now`.
 fn decayed((rate, at): (f64, Micros), now: Micros, horizon: f64) -> f64 {
     rate * (-(now.saturating_sub(at) as f64) / horizon).exp()
 }
