--- a/src/api.rs
+++ b/src/api.rs
@@ -1,17 +1,19 @@
-//! The interface of the decision module: settings, ids, events and actions. No wire, no decision.
+//! The interface of the placement policy: settings, ids, events and actions. It contains neither the wire
+//! format nor decisions.
 //!
-//! Times and durations are whole microseconds ([`Micros`]). Classes, tenants and zones are indices
-//! into the settings, so that no decision can hang on a name.
+//! Times and durations are whole microseconds ([`Micros`]). Classes, tenants and zones are indices into the
+//! settings, so that no decision can depend on a name. Loads are in work a second, in the unit of the
+//! reports.
 
 use std::fmt;
 use std::sync::Arc;
 
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
-/// A server, the same number at every node and across restarts of its process.
+/// The id of a server: the same at every node and across restarts of the server's process.
 pub type HostId = u32;
 
-/// The id of a request; handed back exactly as it came.
+/// The id of a request. Actions return it exactly as it was received.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub Arc<str>);
 
@@ -27,18 +29,18 @@
     }
 }
 
-/// What a repeat of a request may do.
+/// When a request may be repeated without the risk that it takes effect twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatSafety {
     /// May be repeated and refused freely.
     Idempotent,
-    /// May be repeated only at hosts that discard duplicates, and only for a while.
+    /// May be repeated only at hosts that discard duplicates, and only for a limited time.
     Deduplicated,
     /// May be repeated or refused only when no earlier attempt can have run.
     AtMostOnce,
 }
 
-/// Which hosts discard the duplicates of a guarded request.
+/// Which hosts discard the duplicates of a [`RepeatSafety::Deduplicated`] request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every host.
@@ -52,30 +54,30 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer (or a standing connection) inside this time earns the full worth.
+    /// Time within which an answer (or an established connection) earns the full worth.
     pub setup_target: Micros,
-    /// What a repeat may do.
+    /// When a request may be repeated.
     pub repeat_safety: RepeatSafety,
-    /// For guarded classes: who discards duplicates.
+    /// For deduplicated classes: which hosts discard duplicates.
     pub dedup_scope: DedupScope,
-    /// For guarded classes: for how long, from the first attempt that may have run.
+    /// For deduplicated classes: how long duplicates are discarded, from the first attempt that may have run.
     pub dedup_window: Micros,
-    /// How long a message on an open connection may take; 0 where this is not known.
+    /// How long a message on an open connection may take; 0 where unknown.
     pub message_delay_target: Micros,
-    /// How long a client waits in all; 0 where this is not known.
+    /// How long a client waits in total; 0 where unknown.
     pub deadline: Micros,
-    /// What a request is worth beside those of other classes; 0 where this is not known.
+    /// Worth of a request relative to those of other classes; 0 where unknown.
     pub worth: f64,
 }
 
-/// A tenant and its share.
+/// A tenant, its share and its limits.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Its part of the service, 0 to 1.
+    /// Its part of the service, from 0 to 1.
     pub fraction: f64,
-    /// Its open connections over all nodes within its share, where known.
+    /// Number of open connections over all nodes that are within its share, where known.
     pub quota: Option<f64>,
-    /// How long its requests may wait, where that is less than their clients would.
+    /// How long its requests may wait, where that is less than their clients would wait.
     pub deadline: Option<Micros>,
     /// Most attempts for one of its requests.
     pub sends: Option<u32>,
@@ -83,12 +85,12 @@
     pub budget: Option<RetryBudget>,
 }
 
-/// How the list of servers comes.
+/// How the list of servers reaches a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive by themselves.
+    /// Changes are sent without a subscription.
     Pushed,
-    /// Changes arrive only after a subscription.
+    /// Changes are sent only after a subscription.
     Asked,
 }
 
@@ -99,85 +101,87 @@
     pub max_attempts: u32,
     /// Whether hosts may be probed.
     pub probes: bool,
-    /// The longest time that a client may be asked to stay away; none where no advice reaches clients.
+    /// Longest time after which a client may be asked to retry; none where no such advice reaches clients.
     pub max_retry_after: Option<Micros>,
-    /// Whether probes tell a host's load over what it can do.
+    /// Whether a probe's answer contains the host's load as a share of its capacity.
     pub probes_report_load: bool,
 }
 
-/// The figures behind the rules.
+/// Parameters of the rules on cold hosts, drains and retries.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// A host starts at this share of its capacity or more.
+    /// Smallest share of its capacity that a host has when it starts.
     pub cold_share: f64,
-    /// A host is warm after this time at most.
+    /// Longest time until a host that started has its full capacity.
     pub warmup_time: Micros,
-    /// A cold host falls when sent more than this multiple of its present capacity ...
+    /// A cold host fails when it is sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_failure_time: Micros,
-    /// Sends to a draining or gone host must end within this.
+    /// Time within which attempts at a draining or gone host must cease.
     pub drain_grace: Micros,
-    /// Limit on attempts beyond a request's first; none where the deployment states none.
+    /// Limit on attempts beyond each request's first; none where the deployment sets none.
     pub budget: Option<RetryBudget>,
-    /// Only draining binds: a host that is listed as gone, or left out, without having drained may still be
-    /// sent to.
+    /// Only a drain is binding: a host that is listed as gone, or left out of the list, without having
+    /// drained may still be sent requests.
     pub unlisted_hosts_usable: bool,
 }
 
-/// The part of the deployment's goal that counts nines: how many tenfold steps the share of worth that is
-/// not served lies below the whole, over short spans.
+/// The part of the deployment's goal that counts nines: the number of factors of ten by which the share of
+/// worth that is not served lies below the whole, over short spans.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Nines {
     /// Its weight in the goal.
     pub part: f64,
-    /// The nines that earn all of it.
+    /// Number of nines that earns this part in full.
     pub wanted: f64,
 }
 
-/// At most so many further attempts of one node within any span of this length.
+/// Limit on the retries of one node within any span of a given length.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Allowed however light the traffic.
+    /// Number of retries that is allowed however light the traffic.
     pub free: f64,
-    /// And allowed for each request taken in the span.
+    /// Number of retries that is allowed in addition for each request taken in the span.
     pub share: f64,
     /// Length of the span.
     pub span: Micros,
 }
 
-/// All that a node is told when it starts.
+/// The settings that a node starts with.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes of requests; an index outside gets the most careful treatment.
+    /// Classes of requests. A request whose class is not among them is never repeated once it may have run.
     pub classes: Vec<Class>,
     /// Tenants; empty where there are none.
     pub tenants: Vec<Tenant>,
-    /// What traffic past its tenant's share is worth, 0 to 1.
+    /// Worth of traffic past its tenant's share, from 0 to 1.
     pub over_share_worth: f64,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: usize,
     /// This node's zone, where known.
     pub zone: Option<usize>,
-    /// What each attempt that crosses zones costs, in service per first try.
+    /// Price of each attempt that crosses zones, in service per first attempt.
     pub cross_zone_price: f64,
-    /// How many nodes there are, this one included.
+    /// Number of nodes, including this one.
     pub peers_total: u32,
-    /// How the list comes.
+    /// How the list of servers reaches the node.
     pub discovery: Discovery,
-    /// Whether the weights in the list tell sizes.
+    /// Whether the weights in the list are the servers' sizes.
     pub weights_are_sizes: bool,
-    /// What is allowed.
+    /// What the deployment allows.
     pub limits: Limits,
-    /// The figures behind the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
-    /// The nines in the goal; none where the deployment counts none. No decision rests on them yet.
+    /// The nines in the goal; none where the deployment counts none. No decision depends on them yet.
     pub nines: Option<Nines>,
-    /// Whether it is told how long messages take at a host.
+    /// Whether the node is notified of how long messages take at a host.
     pub message_delays_reported: bool,
-    /// A connection to a host that is not made by then counts as refused. No decision rests on it.
+    /// Time after which a connection to a host that is not established counts as refused. No decision depends
+    /// on it.
     pub connect_timeout: Micros,
-    /// A node that neither watched nor asked for this long counts as told of the list. None rests on it.
+    /// Time without a subscription or a request for the list after which the node counts as notified of the
+    /// list all the same. It limits the wait before the next request.
     pub max_poll_interval: Option<Micros>,
 }
 
@@ -216,20 +220,20 @@
     }
 }
 
-/// Why settings were refused.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings refused: {}", self.0)
+        write!(f, "invalid settings: {}", self.0)
     }
 }
 
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Refuses values that no deployment can mean; odd but legal ones pass.
+    /// Rejects values that no deployment can mean; unusual but valid ones pass.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let share = |name: &str, v: f64| match (0.0..=1.0).contains(&v) {
             true => Ok(()),
@@ -274,16 +278,16 @@
     #[default]
     /// Takes new connections.
     Ready,
-    /// Finishes what it holds; nothing new.
+    /// Finishes the connections that it holds; takes no new ones.
     Draining,
-    /// Removed.
+    /// Removed from service.
     Gone,
 }
 
-/// One line of the list of servers.
+/// One entry of the list of servers.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
-    /// Which host.
+    /// The host.
     pub host: HostId,
     /// Its state.
     pub state: HostState,
@@ -293,27 +297,27 @@
     pub zone: Option<usize>,
     /// Its cell.
     pub cell: u32,
-    /// Its size beside others, where weights tell sizes.
+    /// Its size relative to others, where weights are sizes.
     pub weight: f64,
 }
 
 impl Entry {
-    /// A ready host of ordinary size that started long ago.
+    /// Returns a ready host of ordinary size that started long ago.
     pub fn ready(host: HostId) -> Self {
         Entry { host, state: HostState::Ready, ready_at: 0, zone: None, cell: 0, weight: 1.0 }
     }
 }
 
-/// What kind of news about the list this is.
+/// The kind of an update of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
     Changes,
-    /// The full list; a host that it lacks is gone.
+    /// The full list; a host that is missing from it is gone.
     Full,
     /// The full list as it was last known, perhaps stale.
     Cached,
-    /// A call failed or the subscription broke; the old list stands.
+    /// A request for the list failed or the subscription broke; the old list remains valid.
     Failed,
 }
 
@@ -322,24 +326,24 @@
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The host sent an error; it may have run.
+    /// The host returned an error; the attempt may have run.
     Error,
-    /// Sent away unseen; never ran.
+    /// The host rejected it without processing; it never ran.
     Full,
-    /// No answer in time; may have run.
+    /// No answer in time; it may have run.
     Timeout,
-    /// Not connected; never ran.
+    /// The connection could not be established; it never ran.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; it may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     Moot,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
     }
@@ -358,22 +362,22 @@
     pub key: Option<Arc<str>>,
     /// The group key.
     pub group: Option<Arc<str>>,
-    /// Time until the client gives up.
+    /// Time until the client stops waiting.
     pub left: Micros,
-    /// Expected load, in work a second, where a valid hint came.
+    /// Expected load, in work a second, where the client gave a valid hint.
     pub hint: Option<f64>,
-    /// Packets of an open connection that now arrive here.
+    /// The request is packets of an open connection that now arrive at this node.
     pub mid_flow: bool,
-    /// The client is known to repeat an earlier try.
+    /// The client is known to repeat an earlier request.
     pub repeat: bool,
-    /// The client is back after a break or a move.
+    /// The client returned after its connection broke or was moved.
     pub returned: bool,
-    /// The zone that a fleet's plan has it go to, and one where it may be tried again.
+    /// The zone that a fleet's plan sends it to, and one where it may be retried.
     pub zones: Option<(usize, Option<usize>)>,
 }
 
 impl Demand {
-    /// A plain request without keys, tenant or hint.
+    /// Returns a request without keys, tenant or hint.
     pub fn new(call: &str, class: usize, left: Micros) -> Self {
         Demand {
             call: call.into(),
@@ -391,16 +395,16 @@
     }
 }
 
-/// A standing connection that is not at its home: the first host of its walk.
+/// A standing connection that is not at its home, the first host that its placement would try.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MisplacedConnection {
     /// The connection.
     pub call: CallId,
-    /// Where it stands.
+    /// The host that it is at.
     pub current_host: HostId,
     /// Its home.
     pub home_host: HostId,
-    /// Its place on the ring: that of its group, where it has one.
+    /// Its place on the ring: that of its group (or of the group's piece), where it has one.
     pub ring_position: u64,
     /// Its class.
     pub class: usize,
@@ -411,53 +415,53 @@
 /// A host as a node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostView {
-    /// Which.
+    /// The host.
     pub host: HostId,
     /// This node's load there.
     pub load: f64,
     /// Its size.
     pub size: f64,
-    /// The part of its capacity that it has.
+    /// Share of its capacity that it has reached since its start, from 0 to 1.
     pub warmth: f64,
-    /// When it was last started; 0 for long ago.
+    /// When its process last started; 0 means long ago.
     pub ready_at: Micros,
-    /// It is listed as ready, and not passed over for failures.
+    /// It is listed as ready, and neither ejected for failures nor still unproven.
     pub accepts_connections: bool,
 }
 
-/// What a node is told.
+/// What a node is notified of.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of servers.
+    /// The list of servers was updated.
     Members {
-        /// Kind of news.
+        /// Kind of the update.
         kind: ListKind,
         /// The entries that came with it.
         hosts: Vec<Entry>,
     },
-    /// Other tenants from now on: those that were there keep their numbers, new ones come behind.
+    /// The tenants changed: existing ones keep their indices, new ones are appended.
     Tenants(Vec<Tenant>),
-    /// A request came in; one final answer is owed.
+    /// A request arrived; it is owed one final answer.
     Demand(Demand),
-    /// A connection that already stands; its attempt 0 counts as made.
+    /// A connection that is already established at a host; its attempt 0 counts as made.
     Adopted(Demand, HostId),
-    /// An attempt's connection stands.
+    /// An attempt's connection is established.
     Opened {
         /// The request.
         call: CallId,
         /// The attempt's host.
         host: HostId,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
-    /// The load of a connection changed, to this much work a second.
+    /// The load of a connection changed.
     LoadNote {
         /// The request.
         call: CallId,
-        /// The new load.
+        /// The new load, in work a second.
         load: f64,
     },
-    /// Messages at this host take this long.
+    /// The message delay at a host was reported.
     DelayNote {
         /// The host.
         host: HostId,
@@ -474,57 +478,57 @@
         host: HostId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// The request is over.
+        /// The request ended with the attempt; no answer is owed.
         ended: bool,
     },
-    /// A probe came back, or did not.
+    /// A probe was answered, or failed.
     Probed {
         /// The host.
         host: HostId,
         /// How it ended.
         outcome: Outcome,
-        /// The load that the host reports, over what it can do, where it reports that.
+        /// The load that the host reports, as a share of its capacity, where it reports that.
         load: Option<f64>,
     },
-    /// The client left; nothing more is owed.
+    /// The client disconnected; no answer is owed.
     Vanished {
         /// The request.
         call: CallId,
     },
-    /// A timer came due.
+    /// A timer expired.
     Timer {
-        /// As it was set.
+        /// Token that the timer was set with.
         token: u64,
     },
 }
 
-/// What a node does.
+/// What a node is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         call: CallId,
-        /// Where to.
+        /// The host to send it to.
         host: HostId,
-        /// The attempt's time-out.
+        /// Timeout of the attempt.
         patience: Micros,
     },
-    /// Final answer: turned away, a retry does no harm.
+    /// Final answer: the request is refused; it is safe for the client to repeat it.
     Refuse {
         /// The request.
         call: CallId,
-        /// How long the client should stay away; none where no advice reaches it.
+        /// How long the client should wait before it retries; none where no such advice reaches it.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, no promise.
+    /// Final answer: the request failed and may have taken effect.
     Fail {
         /// The request.
         call: CallId,
     },
-    /// Close an open connection politely; the client comes again.
+    /// Ask the client to close an open connection and to connect again.
     Move {
         /// The request.
         call: CallId,
@@ -534,11 +538,11 @@
         /// The host.
         host: HostId,
     },
-    /// Ask for a timer.
+    /// Set a timer.
     Timer {
-        /// When.
+        /// When it expires.
         at: Micros,
-        /// Handed back with it.
+        /// Returned in the timer's event.
         token: u64,
     },
     /// Subscribe to changes of the list.
