--- a/src/bin/oakdeal-drill.rs
+++ b/src/bin/oakdeal-drill.rs
@@ -1,5 +1,5 @@
-//! The adapter: hosts one [`PlacementPolicy`] for each node and speaks the bench's wire on standard input and
-//! output. It decides nothing.
+//! Adapter for the simulator: runs one [`PlacementPolicy`] for each simulated node and speaks the simulator's
+//! wire format on standard input and output. It makes no decisions of its own.
 
 use oakdeal::wire::{clock, reply, Line, Names, Reply};
 use oakdeal::{Action, PlacementPolicy};
@@ -7,42 +7,42 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Reads batches until the input ends.
+/// Reads batches of lines until the input ends, and writes the replies of each batch when it is complete.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut nodes: BTreeMap<u32, (PlacementPolicy, Names)> = BTreeMap::new();
     let mut batch: Option<(u64, u64)> = None;
     let mut actions: Vec<Action> = Vec::new();
     let mut text: Vec<u8> = Vec::new();
-    let json = |text: &mut Vec<u8>, line: &Reply| {
+    let write_reply = |text: &mut Vec<u8>, line: &Reply| {
         serde_json::to_writer(&mut *text, line).map_err(|e| e.to_string())?;
         text.push(b'\n');
         Ok::<(), String>(())
     };
-    for (i, raw) in input.lines().enumerate() {
-        let fault = |what: String| format!("line {}: {what}", i + 1);
-        let raw = raw.map_err(|e| fault(format!("expected UTF-8 text: {e}")))?;
-        if raw.trim().is_empty() {
+    for (i, raw_line) in input.lines().enumerate() {
+        let at_line = |what: String| format!("line {}: {what}", i + 1);
+        let raw_line = raw_line.map_err(|e| at_line(format!("expected UTF-8 text: {e}")))?;
+        if raw_line.trim().is_empty() {
             continue;
         }
-        let line: Line =
-            serde_json::from_str(&raw).map_err(|e| fault(format!("expected a message of the wire: {e}")))?;
+        let line: Line = serde_json::from_str(&raw_line)
+            .map_err(|e| at_line(format!("expected a message of the wire format: {e}")))?;
         match (line, batch) {
             (Line::Frame { time_ms, frame }, None) => {
                 batch = Some((clock(time_ms), frame));
                 text.clear();
             }
             (Line::Frame { .. }, Some(_)) => {
-                return Err(fault("expected EofBatch before a new Frame".into()))
+                return Err(at_line("expected EofBatch before a new Frame".into()))
             }
-            (_, None) => return Err(fault("expected Frame to open a batch".into())),
+            (_, None) => return Err(at_line("expected Frame to open a batch".into())),
             (Line::EofBatch {}, Some((_, frame))) => {
-                json(&mut text, &Reply::Done { frame })?;
+                write_reply(&mut text, &Reply::Done { frame })?;
                 output.write_all(&text).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
                 batch = None;
             }
             (Line::Init { node, rng_seed, env }, Some(_)) => {
-                let (settings, names) = env.translate().map_err(|e| fault(e.to_string()))?;
-                let policy = PlacementPolicy::new(settings, rng_seed).map_err(|e| fault(e.to_string()))?;
+                let (settings, names) = env.translate().map_err(|e| at_line(e.to_string()))?;
+                let policy = PlacementPolicy::new(settings, rng_seed).map_err(|e| at_line(e.to_string()))?;
                 nodes.insert(node, (policy, names));
             }
             (Line::Retire { node }, Some(_)) => {
@@ -51,13 +51,13 @@
             (line, Some((now, _))) => {
                 let node = line.node().unwrap_or_default();
                 let Some((policy, names)) = nodes.get_mut(&node) else {
-                    return Err(fault(format!("expected Init for node {node} before its first event")));
+                    return Err(at_line(format!("expected Init for node {node} before its first event")));
                 };
-                if let Some(event) = line.event(names).map_err(fault)? {
+                if let Some(event) = line.event(names).map_err(at_line)? {
                     actions.clear();
                     policy.handle(now, event, &mut actions);
                     for action in &actions {
-                        json(&mut text, &reply(node, action))?;
+                        write_reply(&mut text, &reply(node, action))?;
                     }
                 }
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! oakdeal decides for a balancer of long-lived connections.
+//! oakdeal is a balancer for long-lived connections.
 //!
-//! Each balancing node owns one [`PlacementPolicy`]. It is told what happens as [`Event`]s and answers with
-//! [`Action`]s; it does no I/O, reads no clock and shares nothing. Placement is consistent hashing
-//! on a circle that all nodes build alike (see `docs/DESIGN.md`).
+//! Each balancing node owns one [`PlacementPolicy`]. The policy receives [`Event`]s and returns [`Action`]s;
+//! it does no I/O, reads no clock and shares no state. Placement is consistent hashing on a ring that all
+//! nodes build identically (see `docs/DESIGN.md`).
 //!
 //! ```
 //! use oakdeal::{Action, Demand, Entry, Event, ListKind, PlacementPolicy, Settings};
@@ -33,7 +33,7 @@
 pub use api::*;
 pub use placement::PlacementPolicy;
 
-/// The README's example, compiled and run with the tests.
+/// The examples of README.md, which are compiled and run with the tests.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
