--- a/src/broker/zones.rs
+++ b/src/broker/zones.rs
@@ -175,8 +175,8 @@
         self.advance(now);
         let class = self.context.classes.get(known.class).map_or("", String::as_str);
         match self.follower.choose_zone(now, known.key(), class) {
-            ZoneChoice::Own => Ok(None),
-            ZoneChoice::To(zone, then) => {
+            ZoneChoice::NoPlan => Ok(None),
+            ZoneChoice::Zone(zone, then) => {
                 // Nobody is sent where this balancer's own list has named nothing.
                 let Some(zone) = self.index(&zone).filter(|&zone| self.ready(zone).next().is_some()) else {
                     return Ok(None);
@@ -345,7 +345,7 @@
                 self.instances.get(host).and_then(|e| e.zone).and_then(|zone| self.context.zones.get(zone));
             let class = self.context.classes.get(known.class).map_or("", String::as_str);
             match (at, self.follower.choose_zone(now, known.key(), class)) {
-                (Some(at), ZoneChoice::To(zone, _)) => zone != *at,
+                (Some(at), ZoneChoice::Zone(zone, _)) => zone != *at,
                 _ => false,
             }
         };
--- a/src/failover/evidence.rs
+++ b/src/failover/evidence.rs
@@ -1,116 +1,117 @@
-//! What a balancer's own sockets show of each zone, summed into a digest of bounded size; and what many digests say together.
+//! Observations of each zone from a balancer's own sockets, summarized in a digest of bounded size, and the verdicts that many
+//! digests give together.
 //!
-//! A balancer has one voice for each zone, however much it sees. Those in one zone are asked about the way from there: a way
-//! is bad when more than half of those who have something to say say so. One that sees every zone fail is cut off itself,
-//! and has no voice. So a zone that is cut off from the others is bad from them and good from itself.
+//! A balancer has one vote for each zone, however much traffic it sees. The balancers of a zone vote on the path from there: it is
+//! bad when more than half of those with enough data find it bad. A balancer that sees every zone fail is cut off itself and
+//! has no vote. A zone that is cut off from the others is therefore bad from them and good from itself.
 
 use super::{FailoverSettings, MAX_CLASSES, MAX_ZONES};
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What one balancer saw of a zone lately.
+/// Recent observations of a zone by one balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ZoneObservations {
-    /// Executions that came up there.
+    /// Number of executions that were established there.
     pub up: u32,
-    /// Executions that nobody answered or that broke before they stood.
+    /// Number of executions without an answer, or that broke before they were established.
     pub failed: u32,
-    /// Executions that were turned away.
+    /// Number of executions that an instance rejected because it was full.
     pub full: u32,
-    /// Standing connections that broke or went silent.
+    /// Number of established connections that broke or became silent.
     pub broken: u32,
-    /// Probes that were answered, and that were not.
+    /// Number of probes that were answered, and number of those that were not.
     pub probed: (u32, u32),
-    /// Mean time until an execution came up, in milliseconds.
+    /// Mean time until an execution was established, in milliseconds.
     #[serde(rename = "setup")]
     pub mean_setup_ms: u32,
-    /// What stands there from here.
+    /// Number of this balancer's established connections there.
     #[serde(rename = "stands")]
     pub established: u32,
-    /// Attempts that were sent there and are neither up nor over.
+    /// Number of attempts that were sent there and are neither established nor ended.
     pub in_flight: u32,
-    /// What the zone's servers carry together as they are now, by this balancer's list.
+    /// Number of connections that the zone's servers can carry at present, by this balancer's list.
     #[serde(rename = "room")]
     pub capacity: u32,
 }
 
 impl ZoneObservations {
-    /// All that takes up capacity.
+    /// Returns the number of connections that take up capacity.
     pub fn held(&self) -> u32 {
         self.established.saturating_add(self.in_flight)
     }
 
-    /// Whether there is something to be looked at.
+    /// Whether there are enough failures, or any unanswered probe, to watch the zone more closely.
     pub fn has_failures(&self) -> bool {
         self.failed + self.broken >= MIN_SAMPLES || self.probed.1 > 0
     }
 }
 
-/// What a balancer tells.
+/// Periodic report of a balancer to the planner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Digest {
-    /// Who tells it.
+    /// Name of the balancer.
     pub name: String,
-    /// Its process, and a number that grows: an older digest is passed over.
+    /// Start time of its process.
     pub started: u64,
-    /// See `started`.
+    /// Grows with each digest of the process; older digests are ignored.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// Its zone.
+    /// Zone of the balancer.
     pub zone: String,
-    /// The plan that it follows; none: its own judgement.
+    /// Serial of the plan that it follows; `None` if it follows none and decides by itself.
     pub follows: Option<u64>,
-    /// Which renewal of that plan: the grants that bind it.
+    /// Renewal of that plan, whose grants are in force at this balancer.
     pub renewal: Option<u64>,
-    /// By zone.
+    /// Observations by zone.
     pub zones: BTreeMap<String, ZoneObservations>,
-    /// By class: what stands here, and who was not served lately.
+    /// Demand by class: requests in hand and clients that were not served recently.
     #[serde(rename = "wants")]
     pub demand: BTreeMap<String, u32>,
 }
 
 impl Digest {
-    /// Whether it is as small as a digest is.
+    /// Whether it keeps the bounds on the number of zones and classes.
     pub fn is_within_bounds(&self) -> bool {
         self.zones.len() <= MAX_ZONES && self.demand.len() <= MAX_CLASSES
     }
 }
 
-/// What happened at a zone.
+/// One event at a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// An execution came up after so long.
+    /// An execution was established after this time.
     Up(Micros),
     /// An execution failed.
     Failed,
-    /// An execution was turned away.
+    /// An instance rejected an execution because it was full.
     Full,
-    /// A standing connection broke.
+    /// An established connection broke.
     Broken,
-    /// A probe was answered, or was not.
+    /// A probe ended; `true` if it was answered.
     Probed(bool),
 }
 
-/// What is remembered counts for so long.
+/// How long an observation and an unserved client count.
 const OBSERVATION_LIFETIME: Micros = 3_000_000;
-/// Clients that were not served, at most.
+/// Maximum number of unserved clients that are remembered; limits memory use.
 const MAX_UNSERVED_CLIENTS: usize = 4_096;
-/// Events that are remembered, at most: the oldest goes.
+/// Maximum number of observations that are remembered; the oldest one is dropped. Limits memory use.
 const MAX_OBSERVATIONS: usize = 8_192;
 
-/// One balancer's counts.
+/// Recent observations and unserved clients of one balancer.
 #[derive(Debug, Default)]
 pub struct ObservationWindow {
     observations: VecDeque<(Micros, usize, Observation)>,
-    /// Who was not served, by class and client, and when.
+    /// When each client was last not served, by class and client hash.
     unserved: BTreeMap<(usize, u64), Micros>,
 }
 
 impl ObservationWindow {
-    /// Something happened at a zone.
+    /// Records an event at a zone.
     pub fn record(&mut self, now: Micros, zone: usize, observation: Observation) {
         self.observations.push_back((now, zone, observation));
         if self.observations.len() > MAX_OBSERVATIONS {
@@ -119,7 +120,7 @@
         self.drop_expired(now);
     }
 
-    /// A client of this class was sent away, or is served again.
+    /// Records that a client of this class was refused or is served again.
     pub fn record_client(&mut self, now: Micros, class: usize, client: u64, served: bool) {
         if served {
             self.unserved.remove(&(class, client));
@@ -134,15 +135,15 @@
         }
     }
 
-    /// What was seen of a zone lately; what stands there and its room are not known here.
+    /// Returns the recent observations of a zone, without the connections held there and without its capacity.
     pub fn zone_summary(&mut self, now: Micros, zone: usize) -> ZoneObservations {
         self.drop_expired(now);
-        let (mut seen, mut setup) = (ZoneObservations::default(), 0);
+        let (mut seen, mut total_setup_ms) = (ZoneObservations::default(), 0);
         for (_, _, observation) in self.observations.iter().filter(|(_, z, _)| *z == zone) {
             match observation {
                 Observation::Up(took) => {
                     seen.up += 1;
-                    setup += took / 1_000;
+                    total_setup_ms += took / 1_000;
                 }
                 Observation::Failed => seen.failed += 1,
                 Observation::Full => seen.full += 1,
@@ -152,32 +153,35 @@
             }
         }
         seen.mean_setup_ms =
-            setup.checked_div(u64::from(seen.up)).unwrap_or_default().min(u64::from(u32::MAX)) as u32;
+            total_setup_ms.checked_div(u64::from(seen.up)).unwrap_or_default().min(u64::from(u32::MAX))
+                as u32;
         seen
     }
 
-    /// How many clients of a class were not served lately and have not been since.
+    /// Returns the number of clients of a class that were refused recently and not served since.
     pub fn unserved_clients(&mut self, now: Micros, class: usize) -> u32 {
         self.unserved.retain(|_, at| *at + OBSERVATION_LIFETIME >= now);
         self.unserved.keys().filter(|(c, _)| *c == class).count() as u32
     }
 }
 
-/// What is said of a way from a zone to a zone.
+/// Health of a path from one zone to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It serves.
+    /// The path serves connections.
     Good,
-    /// It does not.
+    /// The path fails.
     Bad,
-    /// Nobody has anything to say.
+    /// There is not enough data.
     Unknown,
 }
 
-/// Executions or broken connections from which on a balancer has something to say.
+/// Minimum number of failed executions and broken connections for a bad verdict, and of established executions for their mean
+/// set-up time to count.
 const MIN_SAMPLES: u32 = 3;
 
-/// One balancer's word on a zone, and whether it is about service: a probe that is answered shows only that the way is open.
+/// Returns one balancer's verdict on a zone. Observed service takes precedence over probes, since an answered probe shows only that
+/// the path is open.
 fn balancer_verdict(seen: &ZoneObservations, settings: &FailoverSettings) -> Verdict {
     let (bad, all) = (seen.failed + seen.broken, seen.up + seen.failed + seen.broken);
     let slow = seen.up >= MIN_SAMPLES && u64::from(seen.mean_setup_ms) * 1_000 > settings.slow_setup;
@@ -185,29 +189,29 @@
         _ if bad >= MIN_SAMPLES && 2 * bad > all || slow => Verdict::Bad,
         _ if seen.up > 0 && 4 * bad < all => Verdict::Good,
         (0, lost) if lost > 0 && seen.up == 0 => Verdict::Bad,
-        // One that is there now and then is not there.
+        // A zone that answers only some probes does not count as reachable.
         (answered, 0) if answered > 0 && bad == 0 => Verdict::Good,
         _ => Verdict::Unknown,
     }
 }
 
-/// All digests that count, by who told them.
+/// Current digests by the balancer's name.
 pub type Digests = BTreeMap<String, Digest>;
 
-/// What the balancers of a zone say together of a way from there.
+/// Returns the majority verdict of a zone's balancers on a path from there.
 pub fn path_verdict(digests: &Digests, from: &str, to: &str, settings: &FailoverSettings) -> Verdict {
-    let there = digests.values().filter(|digest| digest.zone == from);
-    let voices = there.filter_map(|digest| {
-        let words: Vec<Verdict> =
+    let local = digests.values().filter(|digest| digest.zone == from);
+    let votes = local.filter_map(|digest| {
+        let verdicts: Vec<Verdict> =
             digest.zones.values().map(|seen| balancer_verdict(seen, settings)).collect();
-        let told = words.iter().filter(|word| **word != Verdict::Unknown).count();
-        // It sees everything fail: that is its own link.
-        let blind = told >= 2 && !words.contains(&Verdict::Good);
-        digest.zones.get(to).filter(|_| !blind).map(|seen| balancer_verdict(seen, settings))
+        let decided = verdicts.iter().filter(|verdict| **verdict != Verdict::Unknown).count();
+        // A balancer that sees every zone fail has lost its own link.
+        let is_cut_off = decided >= 2 && !verdicts.contains(&Verdict::Good);
+        digest.zones.get(to).filter(|_| !is_cut_off).map(|seen| balancer_verdict(seen, settings))
     });
     let (mut good, mut bad) = (0, 0);
-    for voice in voices {
-        match voice {
+    for vote in votes {
+        match vote {
             Verdict::Good => good += 1,
             Verdict::Bad => bad += 1,
             Verdict::Unknown => {}
@@ -220,23 +224,23 @@
     }
 }
 
-/// A zone's room: what the middle one of all who tell says, so that no minority can make it large or small.
+/// Returns a zone's capacity: the median over all digests, so that no minority can inflate or reduce it.
 pub fn zone_capacity(digests: &Digests, zone: &str) -> f64 {
-    let mut told: Vec<u32> =
+    let mut reported: Vec<u32> =
         digests.values().filter_map(|d| d.zones.get(zone)).map(|seen| seen.capacity).collect();
-    told.sort_unstable();
-    told.get(told.len() / 2).copied().map_or(0.0, f64::from)
+    reported.sort_unstable();
+    reported.get(reported.len() / 2).copied().map_or(0.0, f64::from)
 }
 
-/// What is held in a zone, by all who tell.
+/// Returns the number of connections held in a zone, summed over all digests.
 pub fn zone_occupancy(digests: &Digests, zone: &str) -> f64 {
     digests.values().filter_map(|d| d.zones.get(zone)).map(|seen| f64::from(seen.held())).sum()
 }
 
-/// What clients that come through a zone's balancers want, by class.
+/// Returns the demand of one class at a zone's balancers.
 pub fn zone_demand(digests: &Digests, zone: &str, class: &str) -> f64 {
-    let there = digests.values().filter(|digest| digest.zone == zone);
-    there.filter_map(|digest| digest.demand.get(class)).map(|n| f64::from(*n)).sum()
+    let local = digests.values().filter(|digest| digest.zone == zone);
+    local.filter_map(|digest| digest.demand.get(class)).map(|n| f64::from(*n)).sum()
 }
 
 #[cfg(test)]
@@ -270,7 +274,7 @@
         in_flight: 0,
         capacity: 100,
     };
-    const LITTLE: ZoneObservations = ZoneObservations {
+    const LITTLE_TRAFFIC: ZoneObservations = ZoneObservations {
         up: 0,
         failed: 1,
         full: 0,
@@ -282,10 +286,10 @@
         capacity: 100,
     };
 
-    /// Guards against a zone that a minority condemns: of 60 balancers in three zones a fifth see little, one in each zone lies, and
-    /// one in each is cut off itself.
+    /// Guards against a minority that makes a zone unhealthy: of 60 balancers in three zones a fifth see little traffic, one in each
+    /// zone reports the opposite of the truth, and one in each is cut off itself.
     #[test]
-    fn no_minority_condemns_a_zone_and_a_lost_one_is_found_all_the_same() {
+    fn minority_of_wrong_reports_does_not_change_verdicts_and_a_lost_zone_is_detected() {
         let settings = FailoverSettings::default();
         for lost in [false, true] {
             let truth = |zone: &str| if lost && zone == "b" { DOWN } else { UP };
@@ -293,8 +297,8 @@
             for i in 0..60 {
                 let zone = ["a", "b", "c"][i % 3];
                 let seen = |to: &str| match i / 3 {
-                    0..4 => LITTLE,
-                    // It says of each zone what is not so.
+                    0..4 => LITTLE_TRAFFIC,
+                    // Reports the opposite of each zone's state.
                     4 => {
                         if truth(to) == UP {
                             DOWN
@@ -317,10 +321,10 @@
         }
     }
 
-    /// Guards against a zone that is taken for lost because the others do not reach it, and against one that answers probes and
-    /// fails connections, or takes seconds, and passes for sound.
+    /// Guards against taking a zone for lost because the other zones cannot reach it, and against taking a zone for healthy that
+    /// answers probes but fails connections or takes seconds to establish them.
     #[test]
-    fn ways_are_told_apart_and_probes_alone_make_no_zone_good() {
+    fn paths_are_judged_separately_and_answered_probes_do_not_hide_failures() {
         let settings = FailoverSettings::default();
         let cut = ZoneObservations { up: 0, failed: 0, broken: 0, probed: (0, 3), ..UP };
         let digests: Digests =
@@ -336,9 +340,9 @@
         assert_eq!(path_verdict(&digests, "c", "a", &settings), Verdict::Unknown);
     }
 
-    /// Guards against counts that never end, and memory that grows with clients.
+    /// Guards against observations that never expire, and against memory use that grows with the number of clients.
     #[test]
-    fn what_was_seen_is_forgotten_and_bounded() {
+    fn observations_expire_and_are_bounded() {
         let mut window = ObservationWindow::default();
         for n in 0..20_000u64 {
             window.record(n, 0, Observation::Failed);
--- a/src/failover/follow.rs
+++ b/src/failover/follow.rs
@@ -1,9 +1,10 @@
-//! One balancer's side: which zone a command goes to by the plan that it follows, and who of those that stand moves for it.
+//! The balancer's side of a plan: the zone that a command goes to, and how many established connections may move for the plan.
 //!
-//! Promised: the same client goes to the same zone under the same plan, at every balancer; from one plan to the next only as many
-//! change zone as the shares differ by; in no zone this balancer holds more than its capacity lease in the plan that it follows
-//! ([`super::capacity`]), but for what stood before the lease became smaller. A plan that nobody renews ends by itself: then this
-//! balancer judges alone within its own zone, and sends nothing to another zone beyond what stands there.
+//! Guaranteed: the same client goes to the same zone under the same plan at every balancer; from one plan to the next only as many
+//! clients change zone as the shares differ by; this balancer holds no more connections in a zone than its capacity lease in the
+//! plan that it follows allows ([`super::capacity`]), except those established before the lease became smaller. A plan that is not
+//! renewed expires. The balancer fallback decides alone within its own zone, and sends nothing to another zone beyond the connections
+//! already established there.
 
 use super::plan::{Plan, ZoneState};
 use super::FailoverSettings;
@@ -11,31 +12,36 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh64::xxh64;
 
-/// Where a command goes.
+/// Zone for a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ZoneChoice {
-    /// As without a plan.
-    Own,
-    /// To a zone, and where it may be tried when that failed.
-    To(String, Option<String>),
-    /// Nobody can carry it.
+    /// Placed as without a plan.
+    NoPlan,
+    /// Placed in a zone, with a second zone that may be tried when the first one has failed.
+    Zone(String, Option<String>),
+    /// Refused: no zone has capacity for it.
     Refuse,
 }
 
-/// From so many thousandths on shares are held to be whole: each is rounded down.
-const ROUNDED: u32 = 1_000 - super::MAX_ZONES as u32;
+/// Sum of the shares from which on they count as complete, in thousandths. Each share is rounded down, so a complete sum can miss
+/// one thousandth per zone.
+const MIN_COMPLETE_SHARES_THOUSANDTHS: u32 = 1_000 - super::MAX_ZONES as u32;
+/// Seed of the hash that gives a client its position among all clients ("zone" in ASCII). All balancers must use the same one.
+const CLIENT_POSITION_SEED: u64 = 0x7a6f_6e65;
+/// Longest time for which unused credit for moves accrues.
+const MAX_CREDIT_INTERVAL: Micros = 1_000_000;
 
-/// How many connections a balancer may hold in a zone, attempts in flight included.
+/// Maximum number of connections that a balancer may hold in a zone, attempts in flight included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionLimit {
-    /// Nobody said.
+    /// No limit applies.
     Unbounded,
-    /// So many at most.
+    /// At most this number of connections.
     AtMost(u32),
 }
 
 impl ConnectionLimit {
-    /// Whether one more than these is allowed.
+    /// Whether one more connection is allowed beyond those held.
     pub fn allows_beyond(self, held: u32) -> bool {
         match self {
             ConnectionLimit::Unbounded => true,
@@ -44,67 +50,70 @@
     }
 }
 
-/// The follower.
+/// Follows the plans of the replicated state at one balancer.
 pub struct PlanFollower {
     settings: FailoverSettings,
     name: String,
-    /// When its process started.
+    /// Start time of its process.
     started: u64,
-    me: u64,
-    zone: String,
-    /// The one that it follows, and until when.
+    name_hash: u64,
+    own_zone: String,
+    /// The plan in force, and when it expires.
     plan: Option<(Plan, Micros)>,
-    /// The last one that was followed and has ended, and what stood in each zone then.
-    ended: Option<(Plan, BTreeMap<String, u32>)>,
-    /// When it was first asked to do anything.
-    begun: Option<Micros>,
-    /// The next one, when it is changed to, and until when it counts.
+    /// The last plan that expired, and the connections established in each zone at that time.
+    expired: Option<(Plan, BTreeMap<String, u32>)>,
+    /// When the follower was first advanced.
+    first_advanced: Option<Micros>,
+    /// The next plan, when it comes into force, and when it expires.
     next: Option<(Plan, Micros, Micros)>,
-    moved: Micros,
-    due: f64,
+    /// When moves were last requested.
+    last_move_time: Micros,
+    /// Moves that may be requested, with the fraction carried over.
+    move_credit: f64,
 }
 
 impl PlanFollower {
-    /// That of a balancer in a zone, whose process was started then.
+    /// Creates the follower of a balancer in a zone; `started` is the start time of its process.
     pub fn new(settings: FailoverSettings, name: &str, started: u64, zone: &str) -> PlanFollower {
-        let me = xxh64(name.as_bytes(), 0);
+        let name_hash = xxh64(name.as_bytes(), 0);
         PlanFollower {
             settings,
             name: name.into(),
             started,
-            me,
-            zone: zone.into(),
+            name_hash,
+            own_zone: zone.into(),
             plan: None,
-            ended: None,
-            begun: None,
+            expired: None,
+            first_advanced: None,
             next: None,
-            moved: 0,
-            due: 0.0,
+            last_move_time: 0,
+            move_credit: 0.0,
         }
     }
 
-    /// What it goes by.
+    /// Returns the settings that apply.
     pub fn settings(&self) -> &FailoverSettings {
         &self.settings
     }
 
-    /// The record has this plan.
+    /// Receives the plan of the replicated state.
     pub fn receive_plan(&mut self, now: Micros, plan: &Plan) {
         let until = now + self.settings.plan_lifetime;
         let age = |plan: &Plan| (plan.serial, plan.renewals);
         let next = self.next.as_ref().map(|next| &next.0);
         let followed = self.plan.as_ref().map(|plan| &plan.0);
-        // The record keeps a plan that nobody renews: one that has ended is known as well.
-        let ended = self.ended.as_ref().map(|ended| &ended.0);
-        let known = next.or(followed).or(ended).map(age);
-        // What was heard before does not count for longer because it is heard again.
+        // The replicated state keeps a plan that nobody renews, so an expired plan counts as known.
+        let expired = self.expired.as_ref().map(|expired| &expired.0);
+        let known = next.or(followed).or(expired).map(age);
+        // Receiving the same renewal again does not extend the plan.
         if known.is_some_and(|known| age(plan) <= known) {
             return;
         }
         if let Some(known) = self.plan.as_mut().filter(|known| known.0.serial == plan.serial) {
             *known = (plan.clone(), until);
         } else {
-            let jitter = xxh64(&plan.serial.to_le_bytes(), self.me) % self.settings.changeover_window.max(1);
+            let jitter =
+                xxh64(&plan.serial.to_le_bytes(), self.name_hash) % self.settings.changeover_window.max(1);
             let at = match &self.next {
                 Some(next) if next.0.serial == plan.serial => next.1,
                 _ => now + jitter,
@@ -113,98 +122,111 @@
         }
     }
 
-    /// Changes to what it is time for; `established`: what stands in a zone from here.
+    /// Changes to the next plan and drops an expired one when due. `established` returns this balancer's established connections in
+    /// a zone.
     pub fn advance(&mut self, now: Micros, established: impl Fn(&str) -> u32) {
-        self.begun.get_or_insert(now);
+        self.first_advanced.get_or_insert(now);
         if let Some((plan, _, until)) = self.next.take_if(|next| now >= next.1) {
             self.plan = Some((plan, until));
         }
         if let Some((plan, _)) = self.plan.take_if(|plan| now >= plan.1) {
-            let standing = plan.zones.keys().map(|zone| (zone.clone(), established(zone))).collect();
-            self.ended = Some((plan, standing));
+            let established_at_expiry =
+                plan.zones.keys().map(|zone| (zone.clone(), established(zone))).collect();
+            self.expired = Some((plan, established_at_expiry));
         }
     }
 
-    /// The plan that it follows.
+    /// Returns the serial of the plan in force.
     pub fn followed_plan(&self) -> Option<u64> {
         self.plan.as_ref().map(|plan| plan.0.serial)
     }
 
-    /// Which renewal of the plan it follows: its grants are those in force here.
+    /// Returns the renewal of the plan in force, whose grants apply at this balancer.
     pub fn followed_renewal(&self) -> Option<u64> {
         self.plan.as_ref().map(|plan| plan.0.renewals)
     }
 
-    /// How many connections this balancer may hold in a zone. Where no plan is valid any more nothing beyond what stood when the
-    /// last one ended goes to another zone: the others may have been granted the rest.
+    /// Returns how many connections this balancer may hold in a zone. Without a valid plan it holds no more in another zone than when
+    /// the last plan expired, since the rest may have been granted to other balancers.
     pub fn connection_limit(&self, zone: &str) -> ConnectionLimit {
-        let own = zone == self.zone;
-        match (&self.plan, &self.ended) {
+        let own = zone == self.own_zone;
+        match (&self.plan, &self.expired) {
             (Some((plan, _)), _) if plan.grants.is_empty() => ConnectionLimit::Unbounded,
             (Some((plan, _)), _) => match plan.connection_limit(&self.name, self.started, zone) {
                 Some(limit) => ConnectionLimit::AtMost(limit),
-                // Whoever makes the plan has not heard of this balancer yet.
+                // The planner does not know of this balancer yet.
                 None if own => ConnectionLimit::Unbounded,
                 None => ConnectionLimit::AtMost(0),
             },
-            (None, Some((_, standing))) if !own => {
-                ConnectionLimit::AtMost(standing.get(zone).copied().unwrap_or_default())
+            (None, Some((_, established_at_expiry))) if !own => {
+                ConnectionLimit::AtMost(established_at_expiry.get(zone).copied().unwrap_or_default())
             }
             (None, _) => ConnectionLimit::Unbounded,
         }
     }
 
-    /// Where a client of a class goes that is known by this.
+    /// Returns the zone for a client of a class; `key` identifies the client or its group.
     pub fn choose_zone(&self, now: Micros, key: &str, class: &str) -> ZoneChoice {
-        match (&self.plan, &self.ended) {
+        match (&self.plan, &self.expired) {
             (Some((plan, _)), _) => self.choose_zone_by_plan(plan, key, class),
-            // The plan's other zone only where the own one fails, and within the limit.
+            // The plan's other zone is tried only when the own zone fails, and within the limit.
             (None, Some((plan, _))) => {
-                let then = match self.choose_zone_by_plan(plan, key, class) {
-                    ZoneChoice::To(zone, then) => Some(zone).filter(|zone| *zone != self.zone).or(then),
-                    ZoneChoice::Own | ZoneChoice::Refuse => None,
+                let fallback = match self.choose_zone_by_plan(plan, key, class) {
+                    ZoneChoice::Zone(zone, fallback) => {
+                        Some(zone).filter(|zone| *zone != self.own_zone).or(fallback)
+                    }
+                    ZoneChoice::NoPlan | ZoneChoice::Refuse => None,
                 };
-                ZoneChoice::To(self.zone.clone(), then)
+                ZoneChoice::Zone(self.own_zone.clone(), fallback)
             }
-            // One that has just started soon hears of the plan.
-            (None, None) if self.begun.is_none_or(|begun| now < begun + self.settings.plan_lifetime) => {
-                ZoneChoice::To(self.zone.clone(), None)
+            // A balancer that has just started receives the plan soon.
+            (None, None)
+                if self
+                    .first_advanced
+                    .is_none_or(|first_advanced| now < first_advanced + self.settings.plan_lifetime) =>
+            {
+                ZoneChoice::Zone(self.own_zone.clone(), None)
             }
-            (None, None) => ZoneChoice::Own,
+            (None, None) => ZoneChoice::NoPlan,
         }
     }
 
     fn choose_zone_by_plan(&self, plan: &Plan, key: &str, class: &str) -> ZoneChoice {
-        let Some(zone) = plan.zones.get(&self.zone) else { return ZoneChoice::Own };
-        let Some(shares) = zone.shares.get(class) else { return ZoneChoice::Own };
-        // Its place among all clients, the same at every balancer and under every plan.
-        let place = (xxh64(key.as_bytes(), 0x7a6f_6e65) % 1_000) as u32;
+        let Some(zone) = plan.zones.get(&self.own_zone) else { return ZoneChoice::NoPlan };
+        let Some(shares) = zone.shares.get(class) else { return ZoneChoice::NoPlan };
+        // Position of the client among all clients, the same at every balancer and under every plan.
+        let position = (xxh64(key.as_bytes(), CLIENT_POSITION_SEED) % 1_000) as u32;
         let mut sum = 0;
         for (to, share) in shares {
             sum += share;
             // Shares are rounded down.
-            if place < sum || sum >= ROUNDED {
-                let then = zone.fallback.as_ref().filter(|then| *then != to && place < zone.fallback_share);
-                return ZoneChoice::To(to.clone(), then.cloned());
+            if position < sum || sum >= MIN_COMPLETE_SHARES_THOUSANDTHS {
+                let fallback = zone
+                    .fallback
+                    .as_ref()
+                    .filter(|fallback| *fallback != to && position < zone.fallback_share);
+                return ZoneChoice::Zone(to.clone(), fallback.cloned());
             }
         }
         ZoneChoice::Refuse
     }
 
-    /// Whether the plan has a zone's traffic near, or there is none.
+    /// Whether the plan keeps a zone's traffic in that zone, or no plan is in force.
     pub fn is_near(&self, zone: &str) -> bool {
         let state = self.plan.as_ref().and_then(|plan| plan.0.zones.get(zone)).map(|zone| zone.state);
         state.is_none_or(|state| state == ZoneState::Near)
     }
 
-    /// How many connections may be asked to move now, of so many balancers; it counts them as moved.
+    /// Returns how many of the wanted moves may be requested now at this balancer's share of the fleet's rate, and counts them as
+    /// requested.
     pub fn allowed_moves(&mut self, now: Micros, wanted: usize, balancers: u32) -> usize {
-        let span = now.saturating_sub(self.moved).min(1_000_000);
-        self.moved = now;
-        let most = self.settings.fleet_moves_per_second / f64::from(balancers.max(1));
-        self.due = (self.due + most * span as f64 / 1e6).min(most.max(1.0));
-        let n = (self.due.floor() as usize).min(wanted);
-        self.due -= n as f64;
+        let span = now.saturating_sub(self.last_move_time).min(MAX_CREDIT_INTERVAL);
+        self.last_move_time = now;
+        let moves_per_second = self.settings.fleet_moves_per_second / f64::from(balancers.max(1));
+        self.move_credit =
+            (self.move_credit + moves_per_second * span as f64 / 1e6).min(moves_per_second.max(1.0));
+        let n = (self.move_credit.floor() as usize).min(wanted);
+        self.move_credit -= n as f64;
         n
     }
 }
--- a/src/failover/follow_tests.rs
+++ b/src/failover/follow_tests.rs
@@ -13,7 +13,7 @@
 
 fn counts(follower: &PlanFollower) -> (usize, usize, usize) {
     let all: Vec<ZoneChoice> = (0..10_000).map(|n| follower.choose_zone(0, &format!("k{n}"), "c")).collect();
-    let to = |zone: &str| all.iter().filter(|c| matches!(c, ZoneChoice::To(z, _) if z == zone)).count();
+    let to = |zone: &str| all.iter().filter(|c| matches!(c, ZoneChoice::Zone(z, _) if z == zone)).count();
     (to("a"), to("b"), all.iter().filter(|c| **c == ZoneChoice::Refuse).count())
 }
 
@@ -27,7 +27,7 @@
         ..FailoverSettings::default()
     };
     let mut f = PlanFollower::new(settings.clone(), "n1", 1, "a");
-    assert_eq!(f.choose_zone(0, "k", "c"), ZoneChoice::To("a".into(), None));
+    assert_eq!(f.choose_zone(0, "k", "c"), ZoneChoice::Zone("a".into(), None));
     f.receive_plan(0, &plan(1, &[("a", 0.7), ("b", 0.2)]));
     f.advance(1_000_000, |_| 0);
     let (a, b, refused) = counts(&f);
@@ -50,7 +50,7 @@
     assert_eq!(f.followed_plan(), Some(2));
     f.advance(22_000_000, |_| 0);
     assert_eq!(f.followed_plan(), None);
-    let near = |n: usize| matches!(f.choose_zone(22_000_000, &format!("k{n}"), "c"), ZoneChoice::To(zone, _) if zone == "a");
+    let near = |n: usize| matches!(f.choose_zone(22_000_000, &format!("k{n}"), "c"), ZoneChoice::Zone(zone, _) if zone == "a");
     assert!((0..1_000).all(near));
     // Not all change at one moment.
     let mut at: Vec<Micros> = Vec::new();
@@ -81,7 +81,7 @@
     (zone.fallback, zone.fallback_share) = (Some("b".into()), 300);
     f.receive_plan(0, &plan);
     f.advance(1_000_000, |_| 0);
-    let second = |n: &usize| matches!(f.choose_zone(0, &format!("k{n}"), "c"), ZoneChoice::To(_, Some(then)) if then == "b");
+    let second = |n: &usize| matches!(f.choose_zone(0, &format!("k{n}"), "c"), ZoneChoice::Zone(_, Some(then)) if then == "b");
     let of = (0..10_000).filter(second).count();
     assert!(of.abs_diff(3_000) < 150, "{of}");
 }
@@ -180,8 +180,8 @@
         "a",
     );
     f.advance(5, |_| 0);
-    assert_eq!(f.choose_zone(10_000_004, "k", "c"), ZoneChoice::To("a".into(), None));
-    assert_eq!(f.choose_zone(10_000_005, "k", "c"), ZoneChoice::Own);
+    assert_eq!(f.choose_zone(10_000_004, "k", "c"), ZoneChoice::Zone("a".into(), None));
+    assert_eq!(f.choose_zone(10_000_005, "k", "c"), ZoneChoice::NoPlan);
 }
 
 /// The record keeps a plan also when nobody renews it, and every turn takes it from there. A plan that had ended was taken for new
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -1,10 +1,10 @@
-//! The plan: for each zone that traffic comes from, which share of each class goes to which zone, and why.
+//! The plan: for each zone that traffic comes from, the share of each class that goes to each zone, and the reason.
 //!
-//! Promised: shares of a class sum to one at most, and what is missing to one is refused; by what is told, no zone is given more than
-//! its room, also while some balancers follow a plan and some the one before it: of what a zone has free beside all that the plan
-//! before gives it, and of nothing else, more is given away. There are never three plans at once: the next one is made
-//! when everybody who is heard follows the last, or when whoever is not heard follows none any more. The same input gives the
-//! same plan.
+//! Guaranteed: the shares of a class sum to one at most, and the remainder is refused. As far as the digests tell, no zone is allocated
+//! more than its capacity, even while some balancers follow a plan and others the previous one: a zone is allocated more only out
+//! of capacity that is free beside everything the previous plan gives it. There are never three plans in force at once: the next
+//! plan is made when all balancers that report follow the last one, or when those that do not report can no longer follow any.
+//! The same input gives the same plan.
 
 use super::allocation::{staged_allocation, AllocationInput};
 use super::capacity::{self, Grants, Holder, Report};
@@ -15,23 +15,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How a zone's own traffic goes.
+/// Where a zone's own traffic goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ZoneState {
-    /// It stays there.
+    /// All of it stays in the zone.
     #[default]
     Near,
-    /// What the zone cannot carry goes elsewhere.
+    /// What the zone cannot carry goes to other zones.
     Spill,
-    /// The zone is left.
+    /// All of it goes to other zones.
     Away,
-    /// It is gone back to, step by step.
+    /// It returns to the zone step by step.
     Returning,
 }
 
 impl ZoneState {
-    /// Its name.
+    /// Returns the name of the state.
     pub fn name(self) -> &'static str {
         match self {
             ZoneState::Near => "near",
@@ -42,55 +42,56 @@
     }
 }
 
-/// What the plan says of one zone.
+/// Plan for one zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ZonePlan {
-    /// How its own traffic goes.
+    /// Where its own traffic goes.
     pub state: ZoneState,
-    /// Why.
+    /// Reason for the state.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The plan that brought it into this state.
+    /// Serial of the plan that brought the zone into this state.
     pub since: u64,
-    /// What it carries.
+    /// Number of connections that it may carry.
     #[serde(rename = "room")]
     pub capacity: u32,
-    /// By class: how many thousandths go to which zone, in a fixed order. What is missing to all of them is refused.
+    /// Shares by class: the thousandths that go to each zone, in a fixed order. The remainder to 1,000 is refused.
     pub shares: BTreeMap<String, Vec<(String, u32)>>,
-    /// Where whoever failed there once may be tried, and how many thousandths of all may: whichever one zone fails, they find room.
+    /// Zone where a client that failed in its first zone may be tried.
     #[serde(rename = "then")]
     pub fallback: Option<String>,
-    /// See `then`.
+    /// Thousandths of all clients that may be tried in `fallback`: whichever single zone fails, the fallback has capacity for them.
     #[serde(rename = "part")]
     pub fallback_share: u32,
 }
 
-/// A plan.
+/// Shares of all zones, with the capacity leases that go with them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Plan {
-    /// Which one: each has the next number.
+    /// Serial number of the plan; each new plan has the next one.
     pub serial: u64,
-    /// How often it was renewed.
+    /// Number of times the plan was renewed.
     #[serde(rename = "renewed")]
     pub renewals: u64,
-    /// By zone.
+    /// Plans by zone.
     pub zones: BTreeMap<String, ZonePlan>,
-    /// How many connections each balancer may hold in each zone; none: an older program made the plan.
+    /// Capacity leases of the balancers; empty in a plan from an older version of the program.
     #[serde(skip_serializing_if = "Grants::is_empty")]
     pub grants: Grants,
 }
 
 impl Plan {
-    /// How many connections the process of a balancer that was started then may hold in a zone; none where it is granted nothing.
+    /// Returns the number of connections that a balancer's process with this start time may hold in a zone; `None` if it has no
+    /// grant.
     pub fn connection_limit(&self, balancer: &str, started: u64, zone: &str) -> Option<u32> {
         let grant = self.grants.get(balancer).filter(|grant| grant.started == started)?;
         let zone = self.zones.keys().position(|name| name == zone)?;
         grant.limits.get(zone).copied()
     }
 
-    /// The share that goes from one zone to another.
+    /// Returns the share of a class, in 0..=1, that goes from one zone to another.
     pub fn share(&self, from: &str, class: &str, to: &str) -> f64 {
         let shares = self.zones.get(from).and_then(|zone| zone.shares.get(class));
         shares
@@ -102,57 +103,67 @@
     }
 }
 
-/// What an operator wants of a zone; it goes before what the planner would do.
+/// Order of an operator for a zone; it overrides the planner's decision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// A number of its own: the same order given again counts anew.
+    /// Number of the order: the same order given again starts anew.
     pub number: u64,
-    /// What.
+    /// Kind of the order.
     #[serde(rename = "wish")]
     pub kind: OrderKind,
-    /// It counts for so many milliseconds.
+    /// Duration of the order, in milliseconds.
     pub lasts_ms: u64,
 }
 
-/// What an operator can want of a zone.
+/// Kinds of orders for a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// It is emptied within so many milliseconds.
+    /// Move all traffic out of the zone within this time, in milliseconds.
     Evacuate(u64),
-    /// It stays as it is, whatever is seen.
+    /// Keep the zone as it is, whatever is observed.
     Hold,
 }
 
-/// What is reserved for a balancer that is not heard any more is kept for so many lifetimes of a plan: it may be cut off and hold
-/// it still, or it is gone.
-const RESERVED_LIFETIMES: u64 = 10;
-/// Where a balancer wants more than it is granted, grants are made anew as often as balancers tell, and no oftener than this.
-const REGRANT: Micros = 250_000;
-/// A plan is changed for a share that differs by so much.
-const BAND: f64 = 0.04;
-/// Of its room a zone keeps so much once it spills: it spills from the whole on, and until it has so much more than it needs.
-const SPILL: f64 = 0.9;
+/// Number of plan lifetimes for which the capacity reserved for a silent balancer is kept: it may be cut off and still hold the
+/// connections, or it may be gone.
+const SILENT_RESERVATION_LIFETIMES: u64 = 10;
+/// Shortest time between two renewals with new grants while a balancer wants more than it is granted. Otherwise they are made as
+/// often as balancers report.
+const MIN_REGRANT_INTERVAL: Micros = 250_000;
+/// Change of a share that is worth a new plan (unitless): smaller changes are noise.
+const MIN_SHARE_CHANGE: f64 = 0.04;
+/// Share of its capacity that a zone uses while it spills (unitless). A zone begins to spill when demand exceeds its whole capacity
+/// and stops when demand is below this share of it, so that it does not change with every client.
+const SPILL_CAPACITY_SHARE: f64 = 0.9;
+/// Free capacity that a zone needs to be a fallback, as a share of the demand of the zone that falls back to it (unitless).
+const MIN_FALLBACK_SHARE: f64 = 0.25;
+/// Share of its demand that a zone must keep not to be in the state `Spill` (unitless).
+const MIN_NEAR_SHARE: f64 = 0.95;
+/// Maximum number of balancers whose digests are kept; limits memory use.
+const MAX_REPORTERS: usize = 4_096;
+/// Shortest digest interval that is assumed when old digests are dropped.
+const MIN_DIGEST_INTERVAL: Micros = 250_000;
 
-/// The holder's side.
+/// Makes the plans, at the holder of the lease for them.
 pub struct Planner {
     settings: FailoverSettings,
     zones: Vec<String>,
-    /// The worthiest first.
+    /// The most valuable first.
     classes: Vec<String>,
     heard: BTreeMap<String, (Micros, Digest)>,
     paths: BTreeMap<(usize, usize), Path>,
-    /// When it saw each order first, and how its zone was then.
+    /// Number of each order, when it was first seen, and the open share of its zone then; NaN until that is known.
     orders: BTreeMap<String, (u64, Micros, f64)>,
     spills: Vec<bool>,
-    /// Who has a grant and is not heard, and since when.
+    /// Since when each balancer with a grant has not reported.
     silent: BTreeMap<String, Micros>,
-    /// Since when it makes plans, and when the last one was put.
+    /// Since when it makes plans; `None` while it is not the lease holder.
     begun: Option<Micros>,
     put: Micros,
 }
 
 impl Planner {
-    /// One for these zones, in any order, and classes, the worthiest first.
+    /// Creates a planner for these zones, in any order, and classes, the most valuable first.
     pub fn new(settings: FailoverSettings, mut zones: Vec<String>, classes: Vec<String>) -> Planner {
         zones.sort();
         zones.truncate(super::MAX_ZONES);
@@ -162,21 +173,22 @@
         Planner { settings, zones, classes, heard, paths, orders, spills, silent, begun: None, put: 0 }
     }
 
-    /// A digest came, late, doubled or in order.
+    /// Receives a digest, which may be late, duplicated or out of order.
     pub fn receive_digest(&mut self, now: Micros, digest: Digest) {
         let age = |d: &Digest| (d.started, d.sequence);
         let newer = self.heard.get(&digest.name).is_none_or(|(_, known)| age(&digest) > age(known));
-        if newer && digest.is_within_bounds() && self.heard.len() < 4_096 {
+        if newer && digest.is_within_bounds() && self.heard.len() < MAX_REPORTERS {
             self.heard.insert(digest.name.clone(), (now, digest));
         }
     }
 
-    /// Not the holder any more: the next time it begins by listening.
+    /// Suspends planning when the lease is lost. The next start begins with a time to collect digests.
     pub fn suspend(&mut self) {
         self.begun = None;
     }
 
-    /// The plan that is wanted now, where it is another than the one in the record or that one is to be renewed; orders that are over.
+    /// Returns the plan to propose now, if a new one is needed or the one in the replicated state is due for renewal, and the zones
+    /// whose orders have expired.
     pub fn advance(
         &mut self,
         now: Micros,
@@ -184,9 +196,9 @@
         orders: &BTreeMap<String, Order>,
     ) -> (Option<Plan>, Vec<String>) {
         let settings = self.settings.clone();
-        self.heard.retain(|_, (at, _)| *at + 4 * settings.digest_interval.max(250_000) >= now);
+        self.heard.retain(|_, (at, _)| *at + 4 * settings.digest_interval.max(MIN_DIGEST_INTERVAL) >= now);
         let begun = *self.begun.get_or_insert(now);
-        // Paths are as the plan in force has them until something else is seen.
+        // Paths start as the plan in force has them and change with new observations.
         if begun == now {
             self.resume(now, record);
         }
@@ -195,7 +207,7 @@
         self.look_for_silent(now, &digests, record);
         let (input, whys) = self.allocation_input(now, &digests, orders, record);
         let renewed = record.and_then(|plan| self.renewal(now, plan, &input, &digests));
-        // Everybody who is heard follows the last plan, and whoever is not heard follows none: two at once are enough.
+        // At most two plans may be in force at once: all that report must follow the last plan, and the others none any more.
         let serial = record.map_or(0, |plan| plan.serial);
         let all = digests.values().all(|d| d.follows.is_none_or(|follows| follows == serial) || serial == 0);
         let settled = all && now >= self.put + settings.changeover_window
@@ -212,14 +224,14 @@
         (put, over)
     }
 
-    /// The same plan once more, with grants by what is known now, where it is time for that.
+    /// Returns the same plan with grants from the current state, if a renewal is due or helps a balancer.
     fn renewal(&self, now: Micros, plan: &Plan, input: &AllocationInput, digests: &Digests) -> Option<Plan> {
         let due = now >= self.put + self.settings.plan_lifetime / 3;
-        let may = now >= self.put + self.settings.digest_interval.max(REGRANT);
+        let may = now >= self.put + self.settings.digest_interval.max(MIN_REGRANT_INTERVAL);
         if !due && !may {
             return None;
         }
-        // Whoever has just begun knows neither the zones' capacities nor who holds what.
+        // A planner that has just started knows neither the zones' capacities nor which balancer holds what.
         let grants = match self.listened(now, digests) {
             true => self.grants(plan, &input.capacity, digests, Some(plan)),
             false => plan.grants.clone(),
@@ -228,14 +240,13 @@
         wanted.then(|| Plan { renewals: plan.renewals + 1, grants, ..plan.clone() })
     }
 
-    /// Whether it has made plans for long enough to have heard everybody who can be heard.
+    /// Whether it has been the planner for long enough to have received a digest from every reachable balancer.
     fn listened(&self, now: Micros, digests: &Digests) -> bool {
         self.begun.is_some_and(|begun| now >= begun + 2 * self.settings.digest_interval)
             && !digests.is_empty()
     }
 
-    /// Whether other grants would give more to a balancer whose clients are expected to want more than it is granted, or free what
-    /// it waits for.
+    /// Whether new grants would give more to a balancer whose expected demand exceeds its grant, or free capacity that it waits for.
     fn helps_somebody(&self, plan: &Plan, grants: &Grants, digests: &Digests) -> bool {
         let limit = |grants: &Grants, name: &String, zone: usize| -> u32 {
             grants.get(name).and_then(|grant| grant.limits.get(zone)).copied().unwrap_or_default()
@@ -252,7 +263,7 @@
         })
     }
 
-    /// By zone: what a balancer's clients want there by a plan's shares.
+    /// Returns the demand of a balancer's clients by zone, from a plan's shares.
     fn demand(&self, plan: &Plan, digest: &Digest) -> Vec<f64> {
         let of_class = |to: &String, class: &String| {
             f64::from(digest.demand.get(class).copied().unwrap_or_default())
@@ -261,7 +272,7 @@
         self.zones.iter().map(|to| self.classes.iter().map(|class| of_class(to, class)).sum()).collect()
     }
 
-    /// The capacity leases that go with a plan's shares; `record`: the plan in force, with its own. `rooms`: capacities by zone.
+    /// Returns the capacity leases that go with a plan's shares. `record` is the plan in force; `capacities` are by zone.
     fn grants(&self, plan: &Plan, rooms: &[f64], digests: &Digests, record: Option<&Plan>) -> Grants {
         let known = |name: &String| record.and_then(|plan| plan.grants.get(name));
         let mut holders = BTreeMap::new();
@@ -288,7 +299,7 @@
             };
             holders.insert(name.clone(), holder);
         }
-        // Of whoever is not heard all stays as it is.
+        // Everything stays reserved for balancers that do not report.
         for name in self.silent.keys() {
             let Some(grant) = known(name) else { continue };
             let demand = grant.limits.iter().map(|limit| f64::from(*limit)).collect();
@@ -300,7 +311,7 @@
         capacity::grant_limits(&capacities, &holders)
     }
 
-    /// Keeps in mind who has a grant and is not heard, for as long as it may still hold what it was granted.
+    /// Tracks the balancers that have a grant and do not report, for as long as they may still hold what they were granted.
     fn look_for_silent(&mut self, now: Micros, digests: &Digests, record: Option<&Plan>) {
         let granted = record.into_iter().flat_map(|plan| plan.grants.keys());
         let silent: Vec<String> = granted.filter(|name| !digests.contains_key(*name)).cloned().collect();
@@ -308,11 +319,11 @@
         for name in silent {
             self.silent.entry(name).or_insert(now);
         }
-        let kept = RESERVED_LIFETIMES * self.settings.plan_lifetime;
+        let kept = SILENT_RESERVATION_LIFETIMES * self.settings.plan_lifetime;
         self.silent.retain(|_, since| now < *since + kept);
     }
 
-    /// Ways that the plan has closed are closed here too: another made it.
+    /// Restores the state of the paths from a plan that another planner made.
     fn resume(&mut self, now: Micros, record: Option<&Plan>) {
         let Some(plan) = record else { return };
         for (z, name) in self.zones.iter().enumerate() {
@@ -358,7 +369,7 @@
         let mut whys = vec![(false, String::new()); n];
         for (f, t) in (0..n).flat_map(|f| (0..n).map(move |t| (f, t))) {
             let said = match path_verdict(digests, &self.zones[f], &self.zones[t], &settings) {
-                // Of a way that nobody goes, those say most who are there.
+                // For a path without traffic, the destination's own balancers know its health best.
                 Verdict::Unknown if f != t => {
                     path_verdict(digests, &self.zones[t], &self.zones[t], &settings)
                 }
@@ -389,7 +400,7 @@
             let level = match order.kind {
                 OrderKind::Evacuate(over) => {
                     let gone = (now - seen.1) as f64 / (over.max(1) * 1_000) as f64;
-                    // In steps, so that it is not another plan each second.
+                    // In steps, so that there is not a new plan every second.
                     (1.0 - (gone * 10.0).floor() / 10.0).max(0.0)
                 }
                 OrderKind::Hold => seen.2,
@@ -444,12 +455,12 @@
         let (n, settings) = (q.zones.len(), &self.settings);
         let mut input = q.clone();
         let want = |f: usize| q.demand[f].iter().sum::<f64>();
-        // One that spills goes on until it has room to spare, so that it does not change with every client.
+        // A zone goes on spilling until it has capacity to spare, so that it does not change with every client.
         for z in 0..n {
-            let spills = want(z) > q.capacity[z] * if self.spills[z] { SPILL } else { 1.0 };
+            let spills = want(z) > q.capacity[z] * if self.spills[z] { SPILL_CAPACITY_SHARE } else { 1.0 };
             self.spills[z] = spills && q.open[z][z] >= 1.0;
             if self.spills[z] {
-                input.open[z][z] = (SPILL * q.capacity[z] / want(z)).min(1.0);
+                input.open[z][z] = (SPILL_CAPACITY_SHARE * q.capacity[z] / want(z)).min(1.0);
             }
         }
         let distance = |f: usize, t: usize| settings.distance(&q.zones[f], &q.zones[t]);
@@ -462,8 +473,11 @@
             order.sort_by_key(|&t| (distance(f, t), t));
             order
         };
-        // Failed ones go where a quarter of them would find room, and no more of them than find it, whichever one zone fails.
-        let suits = |f: usize, t: usize| t != f && q.open[f][t] >= 1.0 && spare[t] > 0.25 * want(f).max(1.0);
+        // The fallback is the nearest zone with capacity for a quarter of the clients. No more of them are tried there than it has
+        // capacity for, whichever single zone fails.
+        let suits = |f: usize, t: usize| {
+            t != f && q.open[f][t] >= 1.0 && spare[t] > MIN_FALLBACK_SHARE * want(f).max(1.0)
+        };
         let then: Vec<Option<usize>> = (0..n).map(|f| near(f).into_iter().find(|&t| suits(f, t))).collect();
         let tried = |t: usize| {
             let of = |z: usize| {
@@ -480,7 +494,7 @@
                 let want = q.demand[f][c];
                 let part = |t: usize| match want > 0.0 {
                     true => (amounts[f][c][t] / want * 1e3 + 1e-6).floor() as u32,
-                    // Whoever comes first is taken as the others are: near if that is open.
+                    // Without demand the first client goes to its own zone if that is open, else to the nearest open zone.
                     false if q.open[f][f] > 0.0 => 1_000 * u32::from(t == f),
                     false => {
                         1_000
@@ -498,7 +512,7 @@
             let state = match q.open[f][f] {
                 0.0 => ZoneState::Away,
                 open if open < 1.0 => ZoneState::Returning,
-                _ if self.spills[f] || kept < 0.95 * want => ZoneState::Spill,
+                _ if self.spills[f] || kept < MIN_NEAR_SHARE * want => ZoneState::Spill,
                 _ => ZoneState::Near,
             };
             let was = record.and_then(|plan| plan.zones.get(&q.zones[f]));
@@ -519,7 +533,7 @@
         Plan { serial, renewals: 0, zones, grants: Grants::new() }
     }
 
-    /// Who is heard, and which plan each follows.
+    /// Returns the names of the balancers that report, by the plan that they follow.
     pub fn followers(&self) -> BTreeMap<Option<u64>, Vec<String>> {
         let mut all: BTreeMap<Option<u64>, Vec<String>> = BTreeMap::new();
         self.heard.iter().for_each(|(name, (_, d))| all.entry(d.follows).or_default().push(name.clone()));
@@ -527,7 +541,7 @@
     }
 }
 
-/// Whether a plan is worth changing to: another state, or a share that differs by more than noise does.
+/// Whether a plan is worth changing to: a zone has another state, or a share differs by more than noise.
 fn differs(old: &Plan, new: &Plan) -> bool {
     let zones = new.zones.iter().any(|(name, zone)| {
         let was = old.zones.get(name);
@@ -538,7 +552,7 @@
                     .map(|(to, _)| (old.share(name, class, to) - new.share(name, class, to)).abs());
                 let sum =
                     |zone: &ZonePlan| zone.shares.get(class).into_iter().flatten().map(|s| s.1).sum::<u32>();
-                told.fold(f64::from(sum(was).abs_diff(sum(zone))) / 1e3, f64::max) > BAND
+                told.fold(f64::from(sum(was).abs_diff(sum(zone))) / 1e3, f64::max) > MIN_SHARE_CHANGE
             };
             was.state != zone.state || zone.shares.iter().any(share)
         })
