--- a/src/broker/lease_tests.rs
+++ b/src/broker/lease_tests.rs
@@ -1,4 +1,4 @@
-//! Capacity leases at the send: what one balancer holds in a zone, attempts in flight included, never passes its limit.
+//! Capacity leases at the send: one balancer's connections in a zone, attempts in flight included, never exceed its limit.
 
 use super::super::zones::BalancerContext;
 use super::*;
@@ -10,8 +10,9 @@
 /// Hosts by zone.
 const HOSTS: [(HostId, usize); 4] = [(1, 0), (2, 0), (3, 1), (4, 1)];
 
-/// A balancer in zone a, whose plan has this share of its clients in zone b, and may hold so many connections in each.
-fn balancer(share_of_b: u32, second: bool, limits: [u32; 2]) -> Core {
+/// Returns a balancer in zone a whose plan sends this share of its clients (in thousandths) to zone b. `limits` are the connections
+/// that it may hold in each zone; with `has_fallback`, clients that fail may be tried in zone b.
+fn balancer(share_of_b: u32, has_fallback: bool, limits: [u32; 2]) -> Core {
     let class = Class {
         aim: S,
         effect: Effect::Free,
@@ -46,10 +47,10 @@
     let hosts = HOSTS.map(entry).to_vec();
     core.tell(S, Event::Members { kind: ListKind::Cached, hosts }, &mut Vec::new());
     let shares = vec![("a".to_string(), 1_000 - share_of_b), ("b".to_string(), share_of_b)];
-    let then = second.then(|| "b".to_string());
+    let fallback = has_fallback.then(|| "b".to_string());
     let zone = ZonePlan {
         shares: [("watch".to_string(), shares)].into(),
-        fallback: then,
+        fallback,
         fallback_share: 1_000,
         ..ZonePlan::default()
     };
@@ -83,12 +84,12 @@
 }
 
 #[test]
-fn attempts_in_flight_count_against_the_lease_until_they_are_over() {
+fn attempts_in_flight_count_against_the_lease_until_they_end() {
     let mut core = balancer(1_000, false, [0, 3]);
     let all: Vec<_> = (0..10).flat_map(|n| sent(&request(&mut core, &format!("r{n}")))).collect();
     assert_eq!(all.len(), 3, "{all:?}");
     assert!(all.iter().all(|(_, host)| *host >= 3), "{all:?}");
-    // One that comes up goes on counting; one that has ended does not.
+    // An established connection still counts; an ended one does not.
     let mut actions = Vec::new();
     core.tell(S + 3, Event::Opened { call: all[0].0.clone(), host: all[0].1, elapsed: 1 }, &mut actions);
     assert_eq!(sent(&request(&mut core, "more")), []);
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_retry_in_a_second_zone_keeps_the_lease_too_and_each_request_has_one_final_answer() {
+fn retries_in_the_fallback_zone_keep_its_lease_and_each_request_gets_one_final_answer() {
     let mut core = balancer(0, true, [9, 2]);
     let first: Vec<_> = (0..6).flat_map(|n| sent(&request(&mut core, &format!("r{n}")))).collect();
     assert!(first.len() == 6 && first.iter().all(|(_, host)| *host <= 2), "{first:?}");
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_connection_counts_in_its_zone_also_where_its_server_has_left_the_list() {
+fn a_connection_counts_in_its_zone_after_its_server_has_left_the_list() {
     let mut core = balancer(1_000, false, [0, 1]);
     let (call, host) = sent(&request(&mut core, "first"))[0].clone();
     let mut actions = Vec::new();
--- a/src/broker/zones.rs
+++ b/src/broker/zones.rs
@@ -1,5 +1,6 @@
-//! Zones under the fleet's plan: where a command goes, what this balancer's sockets show of each zone, and who moves. It holds no
-//! opinion of its own: [`crate::failover`] decides, and the module places within the zone.
+//! Zone routing at the broker: the zone for each command under the fleet's plan, this balancer's observations of each zone, and the
+//! connections that move to follow the plan. It decides nothing itself: [`crate::failover`] chooses the zone, and the decision
+//! module places commands within the zone.
 
 use super::occupancy::{Occupancies, Occupancy, Slot};
 use crate::api::*;
@@ -10,68 +11,73 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh64::xxh64;
 
-/// Who this balancer is, and what the platform calls things.
+/// This balancer's identity, and what the platform states about zones, classes and balancers.
 #[derive(Clone, Debug, Default)]
 pub struct BalancerContext {
-    /// Its name, and when its process started.
+    /// Name of the balancer.
     pub name: String,
-    /// See `name`.
+    /// Start time of its process.
     pub started: u64,
-    /// Its zone.
+    /// Zone of the balancer.
     pub zone: String,
-    /// All zones, by their index in the list of instances.
+    /// Names of all zones, by their index in the list of instances.
     pub zones: Vec<String>,
-    /// All classes, by index.
+    /// Names of all classes, by index.
     pub classes: Vec<String>,
-    /// A cold instance's part of its capacity, and how long it warms up.
+    /// Share of its capacity that a cold instance has, and how long the instance warms up.
     pub warm_up: (f64, Micros),
-    /// How many balancers there are.
+    /// Number of balancers in the fleet.
     pub balancer_count: u32,
-    /// The longest that a client may be asked to stay away.
+    /// Longest retry delay that a client may be given.
     pub max_retry_after: Option<Micros>,
 }
 
-/// While nothing is wrong zones are probed with one digest of so many.
+/// Number of this balancer's probe rounds from one with all zones to the next while every zone is healthy.
 const HEALTHY_PROBE_INTERVAL: u64 = 16;
-/// And so many balancers probe at a time.
+/// Number of balancers that probe in the same digest interval; limits the probes that all balancers send together.
 const PROBERS_PER_ROUND: u32 = 30;
-/// Between two looks at who is to move.
+/// Time between two checks for connections that are to move.
 const MOVE_CHECK_INTERVAL: Micros = 250_000;
-/// Who is refused comes again after so long, and up to as long more.
+/// Number of probe phases that balancers are spread over (unitless).
+const PROBE_PHASES: u64 = 4_096;
+/// Shortest retry delay of a refused client. Up to the same time again is added at random, to spread the retries.
 const MIN_RETRY_AFTER: Micros = 500_000;
 
-/// The zones.
+/// Routes commands to zones, and collects observations of the zones.
 pub struct ZoneRouter {
     context: BalancerContext,
     follower: PlanFollower,
     observations: ObservationWindow,
     instances: BTreeMap<HostId, Entry>,
+    /// Sequence number of the last digest.
     digest_sequence: u64,
+    /// Offset of this balancer's probe rounds, in digests.
     probe_phase: u64,
     last_move_check: Micros,
+    /// Number of probe rounds so far.
     probe_rounds: usize,
     occupancies: Occupancies,
-    /// The plan that it said it follows.
+    /// Serial of the plan that it last reported as followed.
     announced_plan: Option<u64>,
 }
 
-/// The target of the log line for each attempt that is sent to a zone.
+/// Log target for each attempt that is sent to a zone or refused.
 const ADMISSIONS_TARGET: &str = "oakdeal::admissions";
 
-/// What a client is known by where zones are chosen: whoever shares a group goes together.
+/// Returns the key that selects a client's zone: clients of one group go to the same zone.
 fn key<'a>(group: Option<&'a str>, key: Option<&'a str>, call: &'a CallId) -> &'a str {
     group.or(key).unwrap_or(&call.0)
 }
 
-/// A command as zones know it.
+/// Identity of a command for zone routing.
 pub struct CommandIdentity<'a> {
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Its group, key and id.
+    /// Group of the client.
     pub group: Option<&'a str>,
-    /// See `group`.
+    /// Key of the client.
     pub key: Option<&'a str>,
-    /// See `group`.
+    /// Id of the command.
     pub call: &'a CallId,
 }
 
@@ -86,11 +92,11 @@
 }
 
 impl ZoneRouter {
-    /// Those of a balancer that follows plans by these settings.
+    /// Creates the router of a balancer that follows plans under these settings.
     pub fn new(settings: FailoverSettings, context: BalancerContext) -> ZoneRouter {
         let follower = PlanFollower::new(settings, &context.name, context.started, &context.zone);
         let (observations, instances) = (ObservationWindow::default(), BTreeMap::new());
-        let probe_phase = xxh64(context.name.as_bytes(), 1) % 4_096;
+        let probe_phase = xxh64(context.name.as_bytes(), 1) % PROBE_PHASES;
         let occupancies = Occupancies::default();
         ZoneRouter {
             context,
@@ -115,11 +121,11 @@
     }
 
     fn ready(&self, zone: usize) -> impl Iterator<Item = &Entry> {
-        let there = move |e: &&Entry| e.zone == Some(zone) && e.state == HostState::Ready;
-        self.instances.values().filter(there)
+        let is_ready = move |e: &&Entry| e.zone == Some(zone) && e.state == HostState::Ready;
+        self.instances.values().filter(is_ready)
     }
 
-    /// News of the list.
+    /// Applies an update of the instance list.
     pub fn update_instances(&mut self, kind: ListKind, hosts: &[Entry]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.instances.clear();
@@ -127,17 +133,17 @@
         self.instances.extend(hosts.iter().map(|entry| (entry.host, entry.clone())));
     }
 
-    /// The record has this plan, or as before; whether another one is followed from now on.
+    /// Receives the plan of the replicated state, if it has one. Returns the serial that is followed now if that has changed.
     pub fn receive_plan(&mut self, now: Micros, plan: Option<&Plan>) -> Option<Option<u64>> {
         self.advance(now);
         plan.iter().for_each(|plan| self.follower.receive_plan(now, plan));
         self.advance(now);
-        let follows = self.follower.followed_plan();
-        let was = std::mem::replace(&mut self.announced_plan, follows);
-        Some(follows).filter(|follows| *follows != was)
+        let followed = self.follower.followed_plan();
+        let previous = std::mem::replace(&mut self.announced_plan, followed);
+        Some(followed).filter(|followed| *followed != previous)
     }
 
-    /// A plan ends by the clock, also where nobody has last_move_check at it for a while.
+    /// Advances the follower's clock: a plan expires even when no command has arrived for a while.
     fn advance(&mut self, now: Micros) {
         let (zones, occupancies) = (&self.context.zones, &self.occupancies);
         let established = |name: &str| {
@@ -147,61 +153,65 @@
         self.follower.advance(now, established);
     }
 
-    /// Whether one more connection may go to a zone: what this balancer holds there stays within its capacity lease.
+    /// Whether one more connection in a zone stays within this balancer's capacity lease.
     fn has_capacity(&self, zone: usize) -> bool {
         let Some(name) = self.context.zones.get(zone) else { return true };
         self.follower.connection_limit(name).allows_beyond(self.occupancies.of(zone).total())
     }
 
-    /// Whether an attempt may be sent to a server now. Asked at the send, since others may have been sent since it was placed.
+    /// Whether an attempt may be sent to a server now. Checked again at the send, since other attempts may have been sent after this
+    /// one was placed.
     pub fn may_send(&mut self, now: Micros, host: HostId) -> bool {
         self.advance(now);
         let Some(zone) = self.zone_of(host) else { return true };
-        let may = self.has_capacity(zone);
-        if !may {
+        let has_capacity = self.has_capacity(zone);
+        if !has_capacity {
             let (plan, zone) =
                 (self.follower.followed_plan(), self.context.zones.get(zone).map_or("", String::as_str));
             tracing::debug!(target: ADMISSIONS_TARGET, plan, zone, "not sent: the capacity lease is used up");
         }
-        may
+        has_capacity
     }
 
-    /// The zones that a command goes to; none: as without a plan. An error: nobody can carry it, and when to come again.
+    /// Returns the zone for a command and its fallback, or `None` if the command is placed as without a plan. The error holds the
+    /// retry delay when no zone has capacity for the command.
     pub fn choose_zones(
         &mut self,
         now: Micros,
-        known: &CommandIdentity,
+        command: &CommandIdentity,
     ) -> Result<Option<(usize, Option<usize>)>, Option<Micros>> {
         self.advance(now);
-        let class = self.context.classes.get(known.class).map_or("", String::as_str);
-        match self.follower.choose_zone(now, known.key(), class) {
+        let class = self.context.classes.get(command.class).map_or("", String::as_str);
+        match self.follower.choose_zone(now, command.key(), class) {
             ZoneChoice::NoPlan => Ok(None),
-            ZoneChoice::Zone(zone, then) => {
-                // Nobody is sent where this balancer's own list has named nothing.
+            ZoneChoice::Zone(zone, fallback) => {
+                // Where this balancer's own list has no ready instance in the zone, the command is placed as without a plan.
                 let Some(zone) = self.index(&zone).filter(|&zone| self.ready(zone).next().is_some()) else {
                     return Ok(None);
                 };
-                let then = then.and_then(|then| self.index(&then)).filter(|&then| self.has_capacity(then));
-                match (self.has_capacity(zone), then) {
-                    (true, then) => Ok(Some((zone, then))),
-                    (false, Some(then)) => Ok(Some((then, None))),
-                    (false, None) => Err(self.refuse(now, known)),
+                let fallback = fallback
+                    .and_then(|fallback| self.index(&fallback))
+                    .filter(|&fallback| self.has_capacity(fallback));
+                match (self.has_capacity(zone), fallback) {
+                    (true, fallback) => Ok(Some((zone, fallback))),
+                    (false, Some(fallback)) => Ok(Some((fallback, None))),
+                    (false, None) => Err(self.refuse(now, command)),
                 }
             }
-            ZoneChoice::Refuse => Err(self.refuse(now, known)),
+            ZoneChoice::Refuse => Err(self.refuse(now, command)),
         }
     }
 
-    /// Nobody can carry it: when to come again.
-    fn refuse(&mut self, now: Micros, known: &CommandIdentity) -> Option<Micros> {
+    /// Refuses a command that no zone has capacity for, and returns its retry delay.
+    fn refuse(&mut self, now: Micros, command: &CommandIdentity) -> Option<Micros> {
         let plan = self.follower.followed_plan();
-        tracing::debug!(target: ADMISSIONS_TARGET, plan, call = &*known.call.0, "refused: no zone has capacity for it");
-        self.observations.record_client(now, known.class, known.client(), false);
-        let after = MIN_RETRY_AFTER + xxh64(known.call.0.as_bytes(), now) % MIN_RETRY_AFTER;
-        self.context.max_retry_after.map(|longest| after.min(longest))
+        tracing::debug!(target: ADMISSIONS_TARGET, plan, call = &*command.call.0, "refused: no zone has capacity for it");
+        self.observations.record_client(now, command.class, command.client(), false);
+        let retry_after = MIN_RETRY_AFTER + xxh64(command.call.0.as_bytes(), now) % MIN_RETRY_AFTER;
+        self.context.max_retry_after.map(|longest| retry_after.min(longest))
     }
 
-    /// An attempt is sent to a server: the capacity that it takes up until it is over.
+    /// Counts an attempt that is sent to a server, and returns the slot of capacity that it takes up until it ends.
     pub fn send(&mut self, call: &CallId, host: HostId) -> Option<Slot> {
         let zone = self.zone_of(host)?;
         let held = self.occupancies.of(zone);
@@ -212,91 +222,94 @@
         Some(self.occupancies.send(zone))
     }
 
-    /// A connection that stands already is taken in.
+    /// Counts a connection that was established before, and returns its slot.
     pub fn adopt(&mut self, host: HostId) -> Option<Slot> {
         Some(self.occupancies.adopt(self.zone_of(host)?))
     }
 
-    /// The attempt in this slot came up.
+    /// Marks the attempt in this slot as established.
     pub fn establish(&mut self, slot: &mut Slot) {
         self.occupancies.establish(slot);
     }
 
-    /// The attempt or connection in this slot is over.
+    /// Frees the slot of an attempt or connection that has ended.
     pub fn release(&mut self, slot: Slot) {
         self.occupancies.release(slot);
     }
 
-    /// An execution came up at an instance.
-    pub fn record_established(&mut self, now: Micros, known: &CommandIdentity, host: HostId, took: Micros) {
-        self.observations.record_client(now, known.class, known.client(), true);
+    /// Records that an execution was established at an instance.
+    pub fn record_established(&mut self, now: Micros, command: &CommandIdentity, host: HostId, took: Micros) {
+        self.observations.record_client(now, command.class, command.client(), true);
         if let Some(zone) = self.zone_of(host) {
             self.observations.record(now, zone, Observation::Up(took));
         }
     }
 
-    /// An execution, or a connection that stood, has ended so.
-    pub fn record_ended(&mut self, now: Micros, host: HostId, stood: bool, outcome: Outcome) {
-        let note = match (stood, outcome) {
+    /// Records the outcome of an execution that failed, or of an established connection that ended.
+    pub fn record_ended(&mut self, now: Micros, host: HostId, established: bool, outcome: Outcome) {
+        let observation = match (established, outcome) {
             (true, Outcome::Reset | Outcome::Timeout) => Observation::Broken,
             (false, Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset) => Observation::Failed,
             (false, Outcome::Full) => Observation::Full,
             _ => return,
         };
         if let Some(zone) = self.zone_of(host) {
-            self.observations.record(now, zone, note);
+            self.observations.record(now, zone, observation);
         }
     }
 
-    /// A probe went so.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, now: Micros, host: HostId, answered: bool) {
         if let Some(zone) = self.zone_of(host) {
             self.observations.record(now, zone, Observation::Probed(answered));
         }
     }
 
-    /// A command was given its final answer, and that was no connection.
-    pub fn record_unserved(&mut self, now: Micros, known: &CommandIdentity) {
-        self.observations.record_client(now, known.class, known.client(), false);
+    /// Records that a command's final answer was no connection.
+    pub fn record_unserved(&mut self, now: Micros, command: &CommandIdentity) {
+        self.observations.record_client(now, command.class, command.client(), false);
     }
 
-    /// An instance of each zone in turn, to be probed: so that a balancer that is cut off knows it, and a zone that nobody is
-    /// sent to, its own or another, is known to be there. Now and then, each balancer at a time of its own, and oftener where
-    /// anything is wrong; the more balancers there are the less often each.
+    /// Returns the instances to probe now, one per zone, each zone's instances in turn. Probes let a balancer detect that it is cut off,
+    /// and show that a zone without traffic is reachable, whether its own or another. A balancer probes every zone at long intervals,
+    /// with a phase of its own, and more often while a zone has failures; with more balancers each one probes less often.
     pub fn next_probes(&mut self, now: Micros) -> Vec<HostId> {
         let zones = 0..self.context.zones.len();
-        let wrong = zones.clone().any(|zone| self.observations.zone_summary(now, zone).has_failures());
-        let turn = self.digest_sequence + self.probe_phase;
-        let each = u64::from(self.context.balancer_count.div_ceil(PROBERS_PER_ROUND)).max(1);
-        let rarely = turn.is_multiple_of(each * HEALTHY_PROBE_INTERVAL);
-        if !turn.is_multiple_of(each) {
+        let any_failures = zones.clone().any(|zone| self.observations.zone_summary(now, zone).has_failures());
+        let round = self.digest_sequence + self.probe_phase;
+        let interval = u64::from(self.context.balancer_count.div_ceil(PROBERS_PER_ROUND)).max(1);
+        let is_regular_round = round.is_multiple_of(interval * HEALTHY_PROBE_INTERVAL);
+        if !round.is_multiple_of(interval) {
             return Vec::new();
         }
         self.probe_rounds += 1;
-        let one = |zone| {
+        let next_instance = |zone| {
             let all: Vec<HostId> = self.ready(zone).map(|e| e.host).collect();
             all.get(self.probe_rounds % all.len().max(1)).copied()
         };
-        let due = |zone: &usize| wrong || rarely || !self.follower.is_near(&self.context.zones[*zone]);
-        zones.filter(due).filter_map(one).collect()
+        let due = |zone: &usize| {
+            any_failures || is_regular_round || !self.follower.is_near(&self.context.zones[*zone])
+        };
+        zones.filter(due).filter_map(next_instance).collect()
     }
 
-    /// What is told of what was seen here; `classes`: that of each request in hand.
+    /// Returns this balancer's next digest. `classes` yields the class of each request in hand.
     pub fn digest(&mut self, now: Micros, classes: impl Iterator<Item = usize>) -> Digest {
         self.advance(now);
-        let mut wants = BTreeMap::<usize, u32>::new();
-        classes.for_each(|class| *wants.entry(class).or_default() += 1);
+        let mut in_hand = BTreeMap::<usize, u32>::new();
+        classes.for_each(|class| *in_hand.entry(class).or_default() += 1);
         self.digest_sequence += 1;
-        let (cold, span) = self.context.warm_up;
+        let (cold_share, warm_up_time) = self.context.warm_up;
         let warmth = |e: &Entry| match now.saturating_sub(e.ready_at) {
-            age if e.ready_at == 0 || age >= span => 1.0,
-            age => cold + (1.0 - cold) * age as f64 / span as f64,
+            age if e.ready_at == 0 || age >= warm_up_time => 1.0,
+            age => cold_share + (1.0 - cold_share) * age as f64 / warm_up_time as f64,
         };
-        let carries = self.follower.settings().connections_per_server;
+        let connections_per_server = self.follower.settings().connections_per_server;
         let zones: Vec<String> =
             self.context.zones.iter().take(crate::failover::MAX_ZONES).cloned().collect();
-        let seen = zones.into_iter().enumerate().map(|(zone, name)| {
-            let capacity = self.ready(zone).map(|e| e.weight * warmth(e) * carries).sum::<f64>() as u32;
+        let summaries = zones.into_iter().enumerate().map(|(zone, name)| {
+            let capacity =
+                self.ready(zone).map(|e| e.weight * warmth(e) * connections_per_server).sum::<f64>() as u32;
             let Occupancy { established, in_flight } = self.occupancies.of(zone);
             (
                 name,
@@ -308,13 +321,13 @@
                 },
             )
         });
-        let zones = seen.collect();
+        let zones = summaries.collect();
         let classes: Vec<String> =
             self.context.classes.iter().take(crate::failover::MAX_CLASSES).cloned().collect();
-        let wanted = classes.into_iter().enumerate().map(|(class, name)| {
+        let demand = classes.into_iter().enumerate().map(|(class, name)| {
             (
                 name,
-                wants.get(&class).copied().unwrap_or_default()
+                in_hand.get(&class).copied().unwrap_or_default()
                     + self.observations.unserved_clients(now, class),
             )
         });
@@ -326,31 +339,33 @@
             follows: self.follower.followed_plan(),
             renewal: self.follower.followed_renewal(),
             zones,
-            demand: wanted.collect(),
+            demand: demand.collect(),
         }
     }
 
-    /// Who of those that stand is asked to move now, at the fleet's pace: whoever the plan has elsewhere.
+    /// Returns the established connections that are asked to move now, within the fleet's rate: those that the plan places in
+    /// another zone.
     pub fn next_moves<'a>(
         &mut self,
         now: Micros,
-        books: impl Iterator<Item = (CommandIdentity<'a>, HostId)>,
+        connections: impl Iterator<Item = (CommandIdentity<'a>, HostId)>,
     ) -> Vec<CallId> {
         if self.follower.followed_plan().is_none() || now < self.last_move_check + MOVE_CHECK_INTERVAL {
             return Vec::new();
         }
         self.last_move_check = now;
-        let stray = |(known, host): &(CommandIdentity, HostId)| {
-            let at =
+        let is_misplaced = |(command, host): &(CommandIdentity, HostId)| {
+            let current_zone =
                 self.instances.get(host).and_then(|e| e.zone).and_then(|zone| self.context.zones.get(zone));
-            let class = self.context.classes.get(known.class).map_or("", String::as_str);
-            match (at, self.follower.choose_zone(now, known.key(), class)) {
-                (Some(at), ZoneChoice::Zone(zone, _)) => zone != *at,
+            let class = self.context.classes.get(command.class).map_or("", String::as_str);
+            match (current_zone, self.follower.choose_zone(now, command.key(), class)) {
+                (Some(current), ZoneChoice::Zone(zone, _)) => zone != *current,
                 _ => false,
             }
         };
-        let strays: Vec<CallId> = books.filter(stray).map(|(known, _)| known.call.clone()).collect();
-        let n = self.follower.allowed_moves(now, strays.len(), self.context.balancer_count);
-        strays.into_iter().take(n).collect()
+        let misplaced: Vec<CallId> =
+            connections.filter(is_misplaced).map(|(command, _)| command.call.clone()).collect();
+        let n = self.follower.allowed_moves(now, misplaced.len(), self.context.balancer_count);
+        misplaced.into_iter().take(n).collect()
     }
 }
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -137,6 +137,8 @@
 const SPILL_CAPACITY_SHARE: f64 = 0.9;
 /// Free capacity that a zone needs to be a fallback, as a share of the demand of the zone that falls back to it (unitless).
 const MIN_FALLBACK_SHARE: f64 = 0.25;
+/// Number of steps in which an evacuation closes a zone (unitless).
+const EVACUATION_STEPS: f64 = 10.0;
 /// Share of its demand that a zone must keep not to be in the state `Spill` (unitless).
 const MIN_NEAR_SHARE: f64 = 0.95;
 /// Maximum number of balancers whose digests are kept; limits memory use.
@@ -150,16 +152,19 @@
     zones: Vec<String>,
     /// The most valuable first.
     classes: Vec<String>,
-    heard: BTreeMap<String, (Micros, Digest)>,
+    /// Latest digest of each balancer, and when it was received.
+    latest_digests: BTreeMap<String, (Micros, Digest)>,
     paths: BTreeMap<(usize, usize), Path>,
     /// Number of each order, when it was first seen, and the open share of its zone then; NaN until that is known.
-    orders: BTreeMap<String, (u64, Micros, f64)>,
-    spills: Vec<bool>,
+    order_starts: BTreeMap<String, (u64, Micros, f64)>,
+    /// Whether each zone spills, by the index of the zone.
+    spilling: Vec<bool>,
     /// Since when each balancer with a grant has not reported.
-    silent: BTreeMap<String, Micros>,
+    silent_since: BTreeMap<String, Micros>,
     /// Since when it makes plans; `None` while it is not the lease holder.
-    begun: Option<Micros>,
-    put: Micros,
+    planning_since: Option<Micros>,
+    /// When the last plan or renewal was proposed.
+    last_proposal: Micros,
 }
 
 impl Planner {
@@ -167,24 +172,35 @@
     pub fn new(settings: FailoverSettings, mut zones: Vec<String>, classes: Vec<String>) -> Planner {
         zones.sort();
         zones.truncate(super::MAX_ZONES);
-        let (heard, paths, orders) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        let (spills, silent) = (vec![false; zones.len()], BTreeMap::new());
+        let (latest_digests, paths, order_starts) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (spilling, silent_since) = (vec![false; zones.len()], BTreeMap::new());
         let classes = classes.into_iter().take(super::MAX_CLASSES).collect();
-        Planner { settings, zones, classes, heard, paths, orders, spills, silent, begun: None, put: 0 }
+        Planner {
+            settings,
+            zones,
+            classes,
+            latest_digests,
+            paths,
+            order_starts,
+            spilling,
+            silent_since,
+            planning_since: None,
+            last_proposal: 0,
+        }
     }
 
     /// Receives a digest, which may be late, duplicated or out of order.
     pub fn receive_digest(&mut self, now: Micros, digest: Digest) {
         let age = |d: &Digest| (d.started, d.sequence);
-        let newer = self.heard.get(&digest.name).is_none_or(|(_, known)| age(&digest) > age(known));
-        if newer && digest.is_within_bounds() && self.heard.len() < MAX_REPORTERS {
-            self.heard.insert(digest.name.clone(), (now, digest));
+        let newer = self.latest_digests.get(&digest.name).is_none_or(|(_, known)| age(&digest) > age(known));
+        if newer && digest.is_within_bounds() && self.latest_digests.len() < MAX_REPORTERS {
+            self.latest_digests.insert(digest.name.clone(), (now, digest));
         }
     }
 
     /// Suspends planning when the lease is lost. The next start begins with a time to collect digests.
     pub fn suspend(&mut self) {
-        self.begun = None;
+        self.planning_since = None;
     }
 
     /// Returns the plan to propose now, if a new one is needed or the one in the replicated state is due for renewal, and the zones
@@ -196,58 +212,61 @@
         orders: &BTreeMap<String, Order>,
     ) -> (Option<Plan>, Vec<String>) {
         let settings = self.settings.clone();
-        self.heard.retain(|_, (at, _)| *at + 4 * settings.digest_interval.max(MIN_DIGEST_INTERVAL) >= now);
-        let begun = *self.begun.get_or_insert(now);
+        self.latest_digests
+            .retain(|_, (at, _)| *at + 4 * settings.digest_interval.max(MIN_DIGEST_INTERVAL) >= now);
+        let begun = *self.planning_since.get_or_insert(now);
         // Paths start as the plan in force has them and change with new observations.
         if begun == now {
             self.resume(now, record);
         }
-        let digests: Digests = self.heard.iter().map(|(name, (_, d))| (name.clone(), d.clone())).collect();
-        let over = self.orders(now, orders);
-        self.look_for_silent(now, &digests, record);
-        let (input, whys) = self.allocation_input(now, &digests, orders, record);
+        let digests: Digests =
+            self.latest_digests.iter().map(|(name, (_, d))| (name.clone(), d.clone())).collect();
+        let expired_orders = self.track_orders(now, orders);
+        self.track_silent_balancers(now, &digests, record);
+        let (input, reasons) = self.allocation_input(now, &digests, orders, record);
         let renewed = record.and_then(|plan| self.renewal(now, plan, &input, &digests));
         // At most two plans may be in force at once: all that report must follow the last plan, and the others none any more.
         let serial = record.map_or(0, |plan| plan.serial);
-        let all = digests.values().all(|d| d.follows.is_none_or(|follows| follows == serial) || serial == 0);
-        let settled = all && now >= self.put + settings.changeover_window
-            || now >= self.put + settings.plan_lifetime + settings.changeover_window;
-        let next = Some(()).filter(|()| settled && self.listened(now, &digests));
-        let next = next.map(|()| self.plan(&input, &whys, record));
-        let changed = next.filter(|next| record.is_none_or(|old| differs(old, next)));
+        let all_on_last_plan =
+            digests.values().all(|d| d.follows.is_none_or(|follows| follows == serial) || serial == 0);
+        let settled = all_on_last_plan && now >= self.last_proposal + settings.changeover_window
+            || now >= self.last_proposal + settings.plan_lifetime + settings.changeover_window;
+        let next = Some(()).filter(|()| settled && self.has_collected_digests(now, &digests));
+        let next = next.map(|()| self.plan(&input, &reasons, record));
+        let changed = next.filter(|next| record.is_none_or(|old| is_worth_changing_to(old, next)));
         let changed = changed
             .map(|next| Plan { grants: self.grants(&next, &input.capacity, &digests, record), ..next });
-        let put = changed.or(renewed);
-        if put.is_some() {
-            self.put = now;
+        let proposal = changed.or(renewed);
+        if proposal.is_some() {
+            self.last_proposal = now;
         }
-        (put, over)
+        (proposal, expired_orders)
     }
 
     /// Returns the same plan with grants from the current state, if a renewal is due or helps a balancer.
     fn renewal(&self, now: Micros, plan: &Plan, input: &AllocationInput, digests: &Digests) -> Option<Plan> {
-        let due = now >= self.put + self.settings.plan_lifetime / 3;
-        let may = now >= self.put + self.settings.digest_interval.max(MIN_REGRANT_INTERVAL);
-        if !due && !may {
+        let due = now >= self.last_proposal + self.settings.plan_lifetime / 3;
+        let may_regrant = now >= self.last_proposal + self.settings.digest_interval.max(MIN_REGRANT_INTERVAL);
+        if !due && !may_regrant {
             return None;
         }
         // A planner that has just started knows neither the zones' capacities nor which balancer holds what.
-        let grants = match self.listened(now, digests) {
+        let grants = match self.has_collected_digests(now, digests) {
             true => self.grants(plan, &input.capacity, digests, Some(plan)),
             false => plan.grants.clone(),
         };
-        let wanted = due || self.helps_somebody(plan, &grants, digests);
+        let wanted = due || self.improves_any_grant(plan, &grants, digests);
         wanted.then(|| Plan { renewals: plan.renewals + 1, grants, ..plan.clone() })
     }
 
     /// Whether it has been the planner for long enough to have received a digest from every reachable balancer.
-    fn listened(&self, now: Micros, digests: &Digests) -> bool {
-        self.begun.is_some_and(|begun| now >= begun + 2 * self.settings.digest_interval)
+    fn has_collected_digests(&self, now: Micros, digests: &Digests) -> bool {
+        self.planning_since.is_some_and(|begun| now >= begun + 2 * self.settings.digest_interval)
             && !digests.is_empty()
     }
 
     /// Whether new grants would give more to a balancer whose expected demand exceeds its grant, or free capacity that it waits for.
-    fn helps_somebody(&self, plan: &Plan, grants: &Grants, digests: &Digests) -> bool {
+    fn improves_any_grant(&self, plan: &Plan, grants: &Grants, digests: &Digests) -> bool {
         let limit = |grants: &Grants, name: &String, zone: usize| -> u32 {
             grants.get(name).and_then(|grant| grant.limits.get(zone)).copied().unwrap_or_default()
         };
@@ -255,16 +274,16 @@
             grants.values().filter_map(|grant| grant.reserved.get(zone)).sum()
         };
         digests.iter().any(|(name, digest)| {
-            self.demand(plan, digest).iter().enumerate().any(|(zone, demand)| {
+            self.demand_by_zone(plan, digest).iter().enumerate().any(|(zone, demand)| {
                 let (old, new) = (limit(&plan.grants, name, zone), limit(grants, name, zone));
-                let short = *demand >= f64::from(old) + 1.0;
-                short && (new > old || reserved(grants, zone) < reserved(&plan.grants, zone))
+                let is_short = *demand >= f64::from(old) + 1.0;
+                is_short && (new > old || reserved(grants, zone) < reserved(&plan.grants, zone))
             })
         })
     }
 
     /// Returns the demand of a balancer's clients by zone, from a plan's shares.
-    fn demand(&self, plan: &Plan, digest: &Digest) -> Vec<f64> {
+    fn demand_by_zone(&self, plan: &Plan, digest: &Digest) -> Vec<f64> {
         let of_class = |to: &String, class: &String| {
             f64::from(digest.demand.get(class).copied().unwrap_or_default())
                 * plan.share(&digest.zone, class, to)
@@ -273,17 +292,18 @@
     }
 
     /// Returns the capacity leases that go with a plan's shares. `record` is the plan in force; `capacities` are by zone.
-    fn grants(&self, plan: &Plan, rooms: &[f64], digests: &Digests, record: Option<&Plan>) -> Grants {
-        let known = |name: &String| record.and_then(|plan| plan.grants.get(name));
+    fn grants(&self, plan: &Plan, capacities: &[f64], digests: &Digests, record: Option<&Plan>) -> Grants {
+        let previous_grant = |name: &String| record.and_then(|plan| plan.grants.get(name));
         let mut holders = BTreeMap::new();
         for (name, digest) in digests {
-            let demand = self.demand(plan, digest);
+            let demand = self.demand_by_zone(plan, digest);
             let own = plan.zones.get(&digest.zone);
             let second = own.and_then(|zone| zone.fallback.as_ref());
             let part = own.map_or(0.0, |zone| f64::from(zone.fallback_share) / 1e3);
             let home = self.zones.iter().position(|zone| *zone == digest.zone);
-            let at_home = home.map_or(0.0, |home| demand[home]);
-            let overflow = self.zones.iter().map(|to| if second == Some(to) { part * at_home } else { 0.0 });
+            let own_zone_demand = home.map_or(0.0, |home| demand[home]);
+            let overflow =
+                self.zones.iter().map(|to| if second == Some(to) { part * own_zone_demand } else { 0.0 });
             let used = self.zones.iter().map(|zone| digest.zones.get(zone).map_or(0, |seen| seen.held()));
             let used: Vec<u32> = used.collect();
             let acknowledges = record.is_some_and(|plan| {
@@ -291,36 +311,36 @@
             });
             let report = Report { started: digest.started, acknowledges, used: &used };
             let holder = Holder {
-                started: known(name).map_or(0, |grant| grant.started).max(digest.started),
+                started: previous_grant(name).map_or(0, |grant| grant.started).max(digest.started),
                 overflow: overflow.collect(),
                 zone: home.unwrap_or(usize::MAX),
-                held: capacity::committed(known(name), &report),
+                held: capacity::committed(previous_grant(name), &report),
                 demand,
             };
             holders.insert(name.clone(), holder);
         }
         // Everything stays reserved for balancers that do not report.
-        for name in self.silent.keys() {
-            let Some(grant) = known(name) else { continue };
+        for name in self.silent_since.keys() {
+            let Some(grant) = previous_grant(name) else { continue };
             let demand = grant.limits.iter().map(|limit| f64::from(*limit)).collect();
             let (started, held) = (grant.started, grant.reserved.clone());
             let holder = Holder { started, demand, held, zone: usize::MAX, ..Holder::default() };
             holders.insert(name.clone(), holder);
         }
-        let capacities: Vec<u32> = rooms.iter().map(|room| room.floor() as u32).collect();
+        let capacities: Vec<u32> = capacities.iter().map(|room| room.floor() as u32).collect();
         capacity::grant_limits(&capacities, &holders)
     }
 
     /// Tracks the balancers that have a grant and do not report, for as long as they may still hold what they were granted.
-    fn look_for_silent(&mut self, now: Micros, digests: &Digests, record: Option<&Plan>) {
+    fn track_silent_balancers(&mut self, now: Micros, digests: &Digests, record: Option<&Plan>) {
         let granted = record.into_iter().flat_map(|plan| plan.grants.keys());
         let silent: Vec<String> = granted.filter(|name| !digests.contains_key(*name)).cloned().collect();
-        self.silent.retain(|name, _| silent.contains(name));
+        self.silent_since.retain(|name, _| silent.contains(name));
         for name in silent {
-            self.silent.entry(name).or_insert(now);
+            self.silent_since.entry(name).or_insert(now);
         }
         let kept = SILENT_RESERVATION_LIFETIMES * self.settings.plan_lifetime;
-        self.silent.retain(|_, since| now < *since + kept);
+        self.silent_since.retain(|_, since| now < *since + kept);
     }
 
     /// Restores the state of the paths from a plan that another planner made.
@@ -338,25 +358,27 @@
                     (path.reopening_since, path.recent_closures, path.last_change) =
                         (Some(now), path.recent_closures.max(1), now);
                 }
-                ZoneState::Spill => self.spills[z] = true,
+                ZoneState::Spill => self.spilling[z] = true,
                 _ => {}
             }
         }
     }
 
-    fn orders(&mut self, now: Micros, orders: &BTreeMap<String, Order>) -> Vec<String> {
-        self.orders
+    /// Tracks when each order was first seen, and returns the zones whose orders have expired.
+    fn track_orders(&mut self, now: Micros, orders: &BTreeMap<String, Order>) -> Vec<String> {
+        self.order_starts
             .retain(|zone, (number, ..)| orders.get(zone).is_some_and(|order| order.number == *number));
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (zone, order) in orders {
-            let (_, at, _) = *self.orders.entry(zone.clone()).or_insert((order.number, now, f64::NAN));
+            let (_, at, _) = *self.order_starts.entry(zone.clone()).or_insert((order.number, now, f64::NAN));
             if now >= at + order.lasts_ms * 1_000 {
-                over.push(zone.clone());
+                expired.push(zone.clone());
             }
         }
-        over
+        expired
     }
 
+    /// Returns the input of the allocation, and by zone whether an operator's order is in force and the reason for its state.
     fn allocation_input(
         &mut self,
         now: Micros,
@@ -366,20 +388,20 @@
     ) -> (AllocationInput, Vec<(bool, String)>) {
         let (n, settings) = (self.zones.len(), self.settings.clone());
         let mut open = vec![vec![1.0; n]; n];
-        let mut whys = vec![(false, String::new()); n];
+        let mut reasons = vec![(false, String::new()); n];
         for (f, t) in (0..n).flat_map(|f| (0..n).map(move |t| (f, t))) {
-            let said = match path_verdict(digests, &self.zones[f], &self.zones[t], &settings) {
+            let path_health = match path_verdict(digests, &self.zones[f], &self.zones[t], &settings) {
                 // For a path without traffic, the destination's own balancers know its health best.
                 Verdict::Unknown if f != t => {
                     path_verdict(digests, &self.zones[t], &self.zones[t], &settings)
                 }
-                said => said,
+                path_health => path_health,
             };
             let path = self.paths.entry((f, t)).or_default();
-            let level = path.update(now, said, &settings);
+            let level = path.update(now, path_health, &settings);
             open[f][t] = level;
             if f == t && level < 1.0 {
-                whys[f].1 = match level == 0.0 {
+                reasons[f].1 = match level == 0.0 {
                     true if path.recent_closures > 1 => {
                         format!("its balancers see it fail, for the {}th time lately", path.recent_closures)
                     }
@@ -389,21 +411,21 @@
             }
         }
         for (zone, order) in orders {
-            let (Some(z), Some(seen)) =
-                (self.zones.iter().position(|name| name == zone), self.orders.get_mut(zone))
+            let (Some(z), Some(start)) =
+                (self.zones.iter().position(|name| name == zone), self.order_starts.get_mut(zone))
             else {
                 continue;
             };
-            if seen.2.is_nan() {
-                seen.2 = open[z][z];
+            if start.2.is_nan() {
+                start.2 = open[z][z];
             }
             let level = match order.kind {
-                OrderKind::Evacuate(over) => {
-                    let gone = (now - seen.1) as f64 / (over.max(1) * 1_000) as f64;
+                OrderKind::Evacuate(within_ms) => {
+                    let elapsed_part = (now - start.1) as f64 / (within_ms.max(1) * 1_000) as f64;
                     // In steps, so that there is not a new plan every second.
-                    (1.0 - (gone * 10.0).floor() / 10.0).max(0.0)
+                    (1.0 - (elapsed_part * EVACUATION_STEPS).floor() / EVACUATION_STEPS).max(0.0)
                 }
-                OrderKind::Hold => seen.2,
+                OrderKind::Hold => start.2,
             };
             for row in open.iter_mut() {
                 row[z] = match order.kind {
@@ -411,122 +433,127 @@
                     OrderKind::Hold => level,
                 };
             }
-            let what = if matches!(order.kind, OrderKind::Hold) { "held" } else { "evacuated" };
-            whys[z] = (true, format!("{what} by an operator"));
+            let effect = if matches!(order.kind, OrderKind::Hold) { "held" } else { "evacuated" };
+            reasons[z] = (true, format!("{effect} by an operator"));
         }
-        let ask =
+        let demand_by_class =
             |zone: &String| self.classes.iter().map(|class| zone_demand(digests, zone, class)).collect();
-        let all: Vec<Vec<f64>> = self.zones.iter().map(ask).collect();
-        let rooms: Vec<f64> =
+        let demand: Vec<Vec<f64>> = self.zones.iter().map(demand_by_class).collect();
+        let capacities: Vec<f64> =
             self.zones.iter().map(|zone| settings.usable_share * zone_capacity(digests, zone)).collect();
         let reserved = |zone: usize| {
-            let grants = self.silent.keys().filter_map(|name| record?.grants.get(name));
+            let grants = self.silent_since.keys().filter_map(|name| record?.grants.get(name));
             grants.filter_map(|grant| grant.reserved.get(zone)).map(|n| f64::from(*n)).sum::<f64>()
         };
-        let stands: Vec<f64> = self
+        let established: Vec<f64> = self
             .zones
             .iter()
             .enumerate()
             .map(|(z, zone)| zone_occupancy(digests, zone) + reserved(z))
             .collect();
-        let before = record.map_or(Vec::new(), |plan| {
+        let previously_allocated = record.map_or(Vec::new(), |plan| {
             let amount = |f: usize, c: usize, t: usize| {
-                all[f][c] * plan.share(&self.zones[f], &self.classes[c], &self.zones[t])
+                demand[f][c] * plan.share(&self.zones[f], &self.classes[c], &self.zones[t])
             };
-            let of = |f: usize| {
+            let by_class = |f: usize| {
                 (0..self.classes.len()).map(|c| (0..n).map(|t| amount(f, c, t)).collect()).collect()
             };
-            (0..n).map(of).collect()
+            (0..n).map(by_class).collect()
         });
         let (zones, classes) = (self.zones.clone(), self.classes.clone());
         let input = AllocationInput {
             zones,
             classes,
-            demand: all,
-            capacity: rooms,
+            demand,
+            capacity: capacities,
             open,
-            previously_allocated: before,
-            established: stands,
+            previously_allocated,
+            established,
         };
-        (input, whys)
+        (input, reasons)
     }
 
-    fn plan(&mut self, q: &AllocationInput, whys: &[(bool, String)], record: Option<&Plan>) -> Plan {
-        let (n, settings) = (q.zones.len(), &self.settings);
-        let mut input = q.clone();
-        let want = |f: usize| q.demand[f].iter().sum::<f64>();
+    /// Returns the next plan for this input, without grants.
+    fn plan(&mut self, base: &AllocationInput, reasons: &[(bool, String)], record: Option<&Plan>) -> Plan {
+        let (n, settings) = (base.zones.len(), &self.settings);
+        let mut input = base.clone();
+        let demand_of = |f: usize| base.demand[f].iter().sum::<f64>();
         // A zone goes on spilling until it has capacity to spare, so that it does not change with every client.
         for z in 0..n {
-            let spills = want(z) > q.capacity[z] * if self.spills[z] { SPILL_CAPACITY_SHARE } else { 1.0 };
-            self.spills[z] = spills && q.open[z][z] >= 1.0;
-            if self.spills[z] {
-                input.open[z][z] = (SPILL_CAPACITY_SHARE * q.capacity[z] / want(z)).min(1.0);
+            let spills =
+                demand_of(z) > base.capacity[z] * if self.spilling[z] { SPILL_CAPACITY_SHARE } else { 1.0 };
+            self.spilling[z] = spills && base.open[z][z] >= 1.0;
+            if self.spilling[z] {
+                input.open[z][z] = (SPILL_CAPACITY_SHARE * base.capacity[z] / demand_of(z)).min(1.0);
             }
         }
-        let distance = |f: usize, t: usize| settings.distance(&q.zones[f], &q.zones[t]);
-        let amounts = staged_allocation(&input, distance);
-        let given = |t: usize| amounts.iter().flatten().map(|to| to[t]).sum::<f64>();
+        let distance = |f: usize, t: usize| settings.distance(&base.zones[f], &base.zones[t]);
+        let allocation = staged_allocation(&input, distance);
+        let allocated_to = |t: usize| allocation.iter().flatten().map(|to| to[t]).sum::<f64>();
         let serial = record.map_or(0, |plan| plan.serial) + 1;
-        let spare: Vec<f64> = (0..n).map(|t| q.capacity[t] - given(t)).collect();
-        let near = |f: usize| {
+        let free: Vec<f64> = (0..n).map(|t| base.capacity[t] - allocated_to(t)).collect();
+        let nearest_to = |f: usize| {
             let mut order: Vec<usize> = (0..n).collect();
             order.sort_by_key(|&t| (distance(f, t), t));
             order
         };
         // The fallback is the nearest zone with capacity for a quarter of the clients. No more of them are tried there than it has
         // capacity for, whichever single zone fails.
-        let suits = |f: usize, t: usize| {
-            t != f && q.open[f][t] >= 1.0 && spare[t] > MIN_FALLBACK_SHARE * want(f).max(1.0)
+        let is_suitable_fallback = |f: usize, t: usize| {
+            t != f && base.open[f][t] >= 1.0 && free[t] > MIN_FALLBACK_SHARE * demand_of(f).max(1.0)
         };
-        let then: Vec<Option<usize>> = (0..n).map(|f| near(f).into_iter().find(|&t| suits(f, t))).collect();
-        let tried = |t: usize| {
-            let of = |z: usize| {
-                let there = (0..n).filter(|&f| then[f] == Some(t)).flat_map(|f| &amounts[f]);
+        let fallback_zones: Vec<Option<usize>> =
+            (0..n).map(|f| nearest_to(f).into_iter().find(|&t| is_suitable_fallback(f, t))).collect();
+        let fallback_share_of = |t: usize| {
+            let moved_if_failed = |z: usize| {
+                let there = (0..n).filter(|&f| fallback_zones[f] == Some(t)).flat_map(|f| &allocation[f]);
                 there.map(|to| to[z]).sum::<f64>()
             };
-            let most = (0..n).filter(|&z| z != t).map(of).fold(0.0, f64::max);
-            (spare[t] / most).min(1.0)
+            let largest = (0..n).filter(|&z| z != t).map(moved_if_failed).fold(0.0, f64::max);
+            (free[t] / largest).min(1.0)
         };
         let mut zones = BTreeMap::new();
         for f in 0..n {
-            let (order, want) = (near(f), want(f));
-            let shares = q.classes.iter().enumerate().map(|(c, class)| {
-                let want = q.demand[f][c];
-                let part = |t: usize| match want > 0.0 {
-                    true => (amounts[f][c][t] / want * 1e3 + 1e-6).floor() as u32,
+            let (nearest, demand) = (nearest_to(f), demand_of(f));
+            let shares = base.classes.iter().enumerate().map(|(c, class)| {
+                let demand = base.demand[f][c];
+                let thousandths = |t: usize| match demand > 0.0 {
+                    true => (allocation[f][c][t] / demand * 1e3 + 1e-6).floor() as u32,
                     // Without demand the first client goes to its own zone if that is open, else to the nearest open zone.
-                    false if q.open[f][f] > 0.0 => 1_000 * u32::from(t == f),
+                    false if base.open[f][f] > 0.0 => 1_000 * u32::from(t == f),
                     false => {
                         1_000
                             * u32::from(
-                                order.iter().find(|&&t| q.open[f][t] > 0.0 && q.capacity[t] > 0.0)
+                                nearest.iter().find(|&&t| base.open[f][t] > 0.0 && base.capacity[t] > 0.0)
                                     == Some(&t),
                             )
                     }
                 };
-                let of: Vec<(String, u32)> = order.iter().map(|&t| (q.zones[t].clone(), part(t))).collect();
-                (class.clone(), of.into_iter().filter(|(_, share)| *share > 0).collect())
+                let shares_by_zone: Vec<(String, u32)> =
+                    nearest.iter().map(|&t| (base.zones[t].clone(), thousandths(t))).collect();
+                (class.clone(), shares_by_zone.into_iter().filter(|(_, share)| *share > 0).collect())
             });
             let shares: BTreeMap<String, Vec<(String, u32)>> = shares.collect();
-            let kept = amounts[f].iter().map(|to| to[f]).sum::<f64>();
-            let state = match q.open[f][f] {
+            let served_near = allocation[f].iter().map(|to| to[f]).sum::<f64>();
+            let state = match base.open[f][f] {
                 0.0 => ZoneState::Away,
                 open if open < 1.0 => ZoneState::Returning,
-                _ if self.spills[f] || kept < MIN_NEAR_SHARE * want => ZoneState::Spill,
+                _ if self.spilling[f] || served_near < MIN_NEAR_SHARE * demand => ZoneState::Spill,
                 _ => ZoneState::Near,
             };
-            let was = record.and_then(|plan| plan.zones.get(&q.zones[f]));
-            let since = was.filter(|was| was.state == state).map_or(serial, |was| was.since);
-            let reason = match (&whys[f], state) {
-                ((_, why), _) if !why.is_empty() => why.clone(),
-                (_, ZoneState::Spill) => format!("{want:.0} wanted, room for {:.0}", q.capacity[f]),
+            let previous = record.and_then(|plan| plan.zones.get(&base.zones[f]));
+            let since =
+                previous.filter(|previous| previous.state == state).map_or(serial, |previous| previous.since);
+            let reason = match (&reasons[f], state) {
+                ((_, reason), _) if !reason.is_empty() => reason.clone(),
+                (_, ZoneState::Spill) => format!("{demand:.0} wanted, room for {:.0}", base.capacity[f]),
                 _ => "it carries what it is asked for".into(),
             };
-            let capacity = q.capacity[f] as u32;
-            let fallback_share = then[f].map_or(0, |t| (tried(t) * 1e3) as u32);
-            let fallback = then[f].map(|t| q.zones[t].clone());
+            let capacity = base.capacity[f] as u32;
+            let fallback_share = fallback_zones[f].map_or(0, |t| (fallback_share_of(t) * 1e3) as u32);
+            let fallback = fallback_zones[f].map(|t| base.zones[t].clone());
             zones.insert(
-                q.zones[f].clone(),
+                base.zones[f].clone(),
                 ZonePlan { state, reason, since, capacity, shares, fallback, fallback_share },
             );
         }
@@ -535,29 +562,31 @@
 
     /// Returns the names of the balancers that report, by the plan that they follow.
     pub fn followers(&self) -> BTreeMap<Option<u64>, Vec<String>> {
-        let mut all: BTreeMap<Option<u64>, Vec<String>> = BTreeMap::new();
-        self.heard.iter().for_each(|(name, (_, d))| all.entry(d.follows).or_default().push(name.clone()));
-        all
+        let mut by_plan: BTreeMap<Option<u64>, Vec<String>> = BTreeMap::new();
+        self.latest_digests
+            .iter()
+            .for_each(|(name, (_, d))| by_plan.entry(d.follows).or_default().push(name.clone()));
+        by_plan
     }
 }
 
 /// Whether a plan is worth changing to: a zone has another state, or a share differs by more than noise.
-fn differs(old: &Plan, new: &Plan) -> bool {
-    let zones = new.zones.iter().any(|(name, zone)| {
+fn is_worth_changing_to(old: &Plan, new: &Plan) -> bool {
+    let any_zone_changed = new.zones.iter().any(|(name, zone)| {
         let was = old.zones.get(name);
         was.is_none_or(|was| {
-            let share = |(class, shares): (&String, &Vec<(String, u32)>)| {
-                let told = shares
+            let share_changed = |(class, shares): (&String, &Vec<(String, u32)>)| {
+                let changes = shares
                     .iter()
                     .map(|(to, _)| (old.share(name, class, to) - new.share(name, class, to)).abs());
                 let sum =
                     |zone: &ZonePlan| zone.shares.get(class).into_iter().flatten().map(|s| s.1).sum::<u32>();
-                told.fold(f64::from(sum(was).abs_diff(sum(zone))) / 1e3, f64::max) > MIN_SHARE_CHANGE
+                changes.fold(f64::from(sum(was).abs_diff(sum(zone))) / 1e3, f64::max) > MIN_SHARE_CHANGE
             };
-            was.state != zone.state || zone.shares.iter().any(share)
+            was.state != zone.state || zone.shares.iter().any(share_changed)
         })
     });
-    zones || old.zones.len() != new.zones.len()
+    any_zone_changed || old.zones.len() != new.zones.len()
 }
 
 #[cfg(test)]
