--- a/src/failover/capacity_tests.rs
+++ b/src/failover/capacity_tests.rs
@@ -1,17 +1,17 @@
 //! Capacity leases under loss, delay and restarts: an exhaustive search of a small case, and long random walks through larger ones.
 //!
-//! What happened without them: where two of three zones failed, the last one held 112 to 120% of its capacity. Shares by a hash of the
-//! client brought more than their mean by chance, attempts in flight and connections since the last digest were counted by nobody,
-//! and no balancer knew how many it might hold: in the log of one run nine balancers on one plan held 58 of 48 together, none of
-//! them against a rule.
+//! Without capacity leases, when two of three zones failed, the last one held 112 to 120% of its capacity: shares by a hash of the
+//! client exceeded their mean by chance, attempts in flight and connections since the last digest were not counted, and no balancer
+//! had a limit of its own. In one run, nine balancers on one plan held 58 connections in a zone for 48, and each of them kept the
+//! rules.
 
 use super::*;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::collections::HashSet;
 
-/// What a balancer said of itself.
+/// Report of a balancer's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Told {
+struct BalancerReport {
     started: u64,
     follows: Option<usize>,
     used: u32,
@@ -20,17 +20,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Balancer {
     started: u64,
-    /// The plan that it follows, by its place in the row of plans.
+    /// Index of the plan that it follows.
     follows: Option<usize>,
-    /// The first plan that it has not followed yet: its record never falls back.
+    /// Index of the first plan that it has not followed yet: its replicated state never goes back.
     next: usize,
-    /// What it may still hold after its plan has ended.
-    standing: u32,
+    /// Number of connections that it may still hold after its plan has expired.
+    limit_after_expiry: u32,
     used: u32,
-    /// A report on its way, which may come late, again, or never.
-    on_its_way: Option<Told>,
-    /// What whoever makes the plans has heard.
-    heard: Option<Told>,
+    /// Report in transit, which may arrive late, twice or never.
+    in_transit: Option<BalancerReport>,
+    /// Last report that the planner has received.
+    last_report: Option<BalancerReport>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -39,31 +39,31 @@
     balancers: Vec<Balancer>,
 }
 
-/// What is wrong with a planner that the search must find.
+/// Fault planted in the planner or the balancers, which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
-    Nothing,
-    /// It takes a grant for acknowledged as soon as it was made.
+enum PlantedFault {
+    NoFault,
+    /// The planner treats a grant as acknowledged as soon as it is made.
     NoAcknowledgement,
-    /// It grants to others what was reserved for whoever it does not hear.
-    ForgetsTheSilent,
-    /// A balancer whose plan has ended goes on by its last grant, and what it may hold is no longer counted.
-    NoSafeCapacity,
-    /// A process acts on what was granted to an earlier one of its name.
-    SharesItsName,
+    /// The planner grants to others what is reserved for balancers that do not report.
+    ForgetsSilentBalancers,
+    /// A balancer whose plan has expired has no limit.
+    NoLimitAfterExpiry,
+    /// A process acts on the grant of an earlier process of its name.
+    UsesEarlierProcessGrant,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Hear(usize, usize),
-    End(usize),
-    Open(usize),
-    Close(usize),
+    ReceivePlan(usize, usize),
+    ExpirePlan(usize),
+    OpenConnection(usize),
+    CloseConnection(usize),
     Restart(usize),
     Report(usize),
-    Deliver(usize),
+    DeliverReport(usize),
     NewPlanner,
-    /// A plan for which all want to go through this balancer.
+    /// A new plan in which all demand is at this balancer.
     Plan(usize),
 }
 
@@ -76,24 +76,32 @@
         World { plans: Vec::new(), balancers: vec![Balancer::default(); balancers] }
     }
 
-    fn limit(&self, balancer: usize, planted: Planted) -> u32 {
+    fn limit(&self, balancer: usize, fault: PlantedFault) -> u32 {
         let b = &self.balancers[balancer];
         match b.follows {
             Some(plan) => {
                 let grant = self.plans[plan].get(&name(balancer));
-                let own = |grant: &&Grant| grant.started == b.started || planted == Planted::SharesItsName;
+                let own = |grant: &&Grant| {
+                    grant.started == b.started || fault == PlantedFault::UsesEarlierProcessGrant
+                };
                 grant.filter(own).map_or(0, |grant| grant.limits[0])
             }
-            None if planted == Planted::NoSafeCapacity => u32::MAX,
-            None => b.standing,
+            None if fault == PlantedFault::NoLimitAfterExpiry => u32::MAX,
+            None => b.limit_after_expiry,
         }
     }
 
     fn steps(&self, plans: usize, restarts: u64) -> Vec<Step> {
         let mut steps = vec![Step::NewPlanner];
         for b in 0..self.balancers.len() {
-            steps.extend((self.balancers[b].next..self.plans.len()).map(|plan| Step::Hear(b, plan)));
-            steps.extend([Step::End(b), Step::Open(b), Step::Close(b), Step::Report(b), Step::Deliver(b)]);
+            steps.extend((self.balancers[b].next..self.plans.len()).map(|plan| Step::ReceivePlan(b, plan)));
+            steps.extend([
+                Step::ExpirePlan(b),
+                Step::OpenConnection(b),
+                Step::CloseConnection(b),
+                Step::Report(b),
+                Step::DeliverReport(b),
+            ]);
             if self.plans.len() < plans {
                 steps.push(Step::Plan(b));
             }
@@ -104,67 +112,67 @@
         steps
     }
 
-    fn take(&mut self, step: Step, capacity: u32, planted: Planted) {
+    fn apply(&mut self, step: Step, capacity: u32, fault: PlantedFault) {
         match step {
-            Step::Hear(b, plan) => {
+            Step::ReceivePlan(b, plan) => {
                 let b = &mut self.balancers[b];
                 (b.follows, b.next) = (Some(plan), plan + 1);
             }
-            Step::End(b) => {
+            Step::ExpirePlan(b) => {
                 let b = &mut self.balancers[b];
                 if b.follows.take().is_some() {
-                    b.standing = b.used;
+                    b.limit_after_expiry = b.used;
                 }
             }
-            Step::Open(b) => {
-                if self.balancers[b].used < self.limit(b, planted).min(capacity + 1) {
+            Step::OpenConnection(b) => {
+                if self.balancers[b].used < self.limit(b, fault).min(capacity + 1) {
                     self.balancers[b].used += 1;
                 }
             }
-            Step::Close(b) => self.balancers[b].used = self.balancers[b].used.saturating_sub(1),
-            // What was said before is still on its way.
+            Step::CloseConnection(b) => self.balancers[b].used = self.balancers[b].used.saturating_sub(1),
+            // A report of the earlier process stays in transit.
             Step::Restart(b) => {
                 let b = &mut self.balancers[b];
                 *b = Balancer {
                     started: b.started + 1,
-                    on_its_way: b.on_its_way,
-                    heard: b.heard,
+                    in_transit: b.in_transit,
+                    last_report: b.last_report,
                     ..Balancer::default()
                 };
             }
             Step::Report(b) => {
                 let b = &mut self.balancers[b];
-                b.on_its_way = Some(Told { started: b.started, follows: b.follows, used: b.used });
+                b.in_transit = Some(BalancerReport { started: b.started, follows: b.follows, used: b.used });
             }
-            Step::Deliver(b) => {
+            Step::DeliverReport(b) => {
                 let b = &mut self.balancers[b];
-                b.heard = b.on_its_way.or(b.heard);
+                b.last_report = b.in_transit.or(b.last_report);
             }
-            Step::NewPlanner => self.balancers.iter_mut().for_each(|b| b.heard = None),
-            Step::Plan(wants) => self.plan(wants, capacity, planted),
+            Step::NewPlanner => self.balancers.iter_mut().for_each(|b| b.last_report = None),
+            Step::Plan(wanting) => self.plan(wanting, capacity, fault),
         }
     }
 
-    fn plan(&mut self, wants: usize, capacity: u32, planted: Planted) {
+    fn plan(&mut self, wanting: usize, capacity: u32, fault: PlantedFault) {
         let last = self.plans.len().checked_sub(1);
         let mut holders = BTreeMap::new();
         for (b, balancer) in self.balancers.iter().enumerate() {
             let grant = last.and_then(|last| self.plans[last].get(&name(b)));
-            let demand = if b == wants { f64::from(capacity) } else { 0.0 };
-            let (heard, held) = match balancer.heard {
-                Some(told) => {
-                    let acknowledges = last.is_some() && told.follows == last;
+            let demand = if b == wanting { f64::from(capacity) } else { 0.0 };
+            let (reported_start, held) = match balancer.last_report {
+                Some(received) => {
+                    let acknowledges = last.is_some() && received.follows == last;
                     let report = Report {
-                        started: told.started,
-                        acknowledges: acknowledges || planted == Planted::NoAcknowledgement,
-                        used: &[told.used],
+                        started: received.started,
+                        acknowledges: acknowledges || fault == PlantedFault::NoAcknowledgement,
+                        used: &[received.used],
                     };
-                    (told.started, committed(grant, &report))
+                    (received.started, committed(grant, &report))
                 }
-                None if planted == Planted::ForgetsTheSilent => (0, vec![0]),
+                None if fault == PlantedFault::ForgetsSilentBalancers => (0, vec![0]),
                 None => (0, grant.map_or(vec![0], |grant| grant.reserved.clone())),
             };
-            let started = grant.map_or(0, |grant| grant.started).max(heard);
+            let started = grant.map_or(0, |grant| grant.started).max(reported_start);
             let holder =
                 Holder { started, demand: vec![demand], overflow: vec![0.0], zone: usize::MAX, held };
             holders.insert(name(b), holder);
@@ -177,8 +185,9 @@
     }
 }
 
-/// Every state that two balancers with room for one connection come to within so many steps; how many, or the one that is wrong.
-fn search(steps: usize, planted: Planted) -> Result<usize, World> {
+/// Searches every state that two balancers with capacity for one connection reach within this number of steps. Returns the number of
+/// states, or the first one that exceeds the capacity.
+fn search(steps: usize, fault: PlantedFault) -> Result<usize, World> {
     let first = World::new(2);
     let (mut known, mut open) = (HashSet::from([first.clone()]), vec![first]);
     for _ in 0..steps {
@@ -186,7 +195,7 @@
         for world in &open {
             for step in world.steps(2, 1) {
                 let mut next = world.clone();
-                next.take(step, 1, planted);
+                next.apply(step, 1, fault);
                 if next.used() > 1 {
                     return Err(next);
                 }
@@ -200,8 +209,8 @@
     Ok(known.len())
 }
 
-/// A random walk of three balancers and so many steps; the most that was held beyond the capacity.
-fn walk(seed: u64, capacity: u32, planted: Planted) -> u32 {
+/// Walks three balancers through random steps and returns the largest number of connections held beyond the capacity.
+fn walk(seed: u64, capacity: u32, fault: PlantedFault) -> u32 {
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
     let mut draw = |most: usize| random.next_u64() as usize % most;
     let mut world = World::new(3);
@@ -211,46 +220,46 @@
         let (next, plans) = (world.balancers[b].next, world.plans.len());
         let step = match draw(100) {
             0..10 => Step::Plan(b),
-            10..30 if next < plans => Step::Hear(b, next + draw(plans - next).min(draw(3))),
-            30..32 => Step::End(b),
+            10..30 if next < plans => Step::ReceivePlan(b, next + draw(plans - next).min(draw(3))),
+            30..32 => Step::ExpirePlan(b),
             32 => Step::Restart(b),
             33 => Step::NewPlanner,
             34..46 => Step::Report(b),
-            46..58 => Step::Deliver(b),
-            58..68 => Step::Close(b),
-            _ => Step::Open(b),
+            46..58 => Step::DeliverReport(b),
+            58..68 => Step::CloseConnection(b),
+            _ => Step::OpenConnection(b),
         };
-        world.take(step, capacity, planted);
+        world.apply(step, capacity, fault);
         beyond = beyond.max(world.used().saturating_sub(capacity));
     }
     beyond
 }
 
-/// The search is whole within so many steps; the walks are longer.
+/// Number of steps up to which the search covers every state. The random walks are longer.
 const SEARCHED_STEPS: usize = 9;
 
 #[test]
-fn no_loss_delay_restart_or_order_of_acknowledgements_passes_the_capacity() {
-    let states = search(SEARCHED_STEPS, Planted::Nothing).unwrap_or_else(|world| panic!("{world:?}"));
+fn capacity_is_kept_under_loss_delay_restarts_and_any_order_of_acknowledgements() {
+    let states = search(SEARCHED_STEPS, PlantedFault::NoFault).unwrap_or_else(|world| panic!("{world:?}"));
     println!("{states} states");
     assert!(states > 10_000, "{states}");
     for seed in 0..600 {
         for capacity in [1, 2, 7] {
-            assert_eq!(walk(seed, capacity, Planted::Nothing), 0, "seed {seed}, capacity {capacity}");
+            assert_eq!(walk(seed, capacity, PlantedFault::NoFault), 0, "seed {seed}, capacity {capacity}");
         }
     }
 }
 
 #[test]
-fn each_planted_error_of_a_planner_is_found() {
+fn random_walks_find_each_planted_fault() {
     let all = [
-        Planted::NoAcknowledgement,
-        Planted::ForgetsTheSilent,
-        Planted::NoSafeCapacity,
-        Planted::SharesItsName,
+        PlantedFault::NoAcknowledgement,
+        PlantedFault::ForgetsSilentBalancers,
+        PlantedFault::NoLimitAfterExpiry,
+        PlantedFault::UsesEarlierProcessGrant,
     ];
-    for planted in all {
-        assert!((0..600).any(|seed| walk(seed, 7, planted) > 0), "{planted:?}");
+    for fault in all {
+        assert!((0..600).any(|seed| walk(seed, 7, fault) > 0), "{fault:?}");
     }
 }
 
@@ -264,7 +273,7 @@
 }
 
 #[test]
-fn what_is_wanted_comes_first_then_what_another_zone_may_lose_then_the_zones_own() {
+fn capacity_goes_to_demand_first_then_to_overflow_then_to_the_zones_own_balancers() {
     let holders: BTreeMap<String, Holder> = [
         ("a".to_string(), holder(0, &[10.0, 0.0], &[0.0, 6.0])),
         ("b".to_string(), holder(1, &[0.0, 10.0], &[0.0, 0.0])),
@@ -274,13 +283,13 @@
     let grants = grant_limits(&[12, 24], &holders);
     assert_eq!(limits(&grants, 0), [12, 0, 0]);
     assert_eq!(limits(&grants, 1), [6, 12, 6]);
-    // Less than is wanted: in proportion, and no more than there is.
+    // With less capacity than demand, grants are in proportion and within the capacity.
     let grants = grant_limits(&[12, 7], &holders);
     assert_eq!(limits(&grants, 1), [0, 5, 2]);
 }
 
 #[test]
-fn a_grant_that_shrinks_frees_capacity_only_when_it_was_acknowledged() {
+fn a_smaller_grant_frees_capacity_only_after_its_acknowledgement() {
     let mut holders: BTreeMap<String, Holder> =
         [("a".to_string(), holder(0, &[8.0], &[0.0])), ("b".to_string(), holder(0, &[2.0], &[0.0]))].into();
     let first = grant_limits(&[10], &holders);
@@ -291,7 +300,7 @@
             holder.held = committed(last.get(name), &report);
         }
     };
-    // The clients change sides.
+    // The demand moves from one balancer to the other.
     holders.get_mut("a").unwrap().demand = vec![2.0];
     holders.get_mut("b").unwrap().demand = vec![8.0];
     report(&mut holders, &first, true);
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -297,13 +297,18 @@
         let mut holders = BTreeMap::new();
         for (name, digest) in digests {
             let demand = self.demand_by_zone(plan, digest);
-            let own = plan.zones.get(&digest.zone);
-            let second = own.and_then(|zone| zone.fallback.as_ref());
-            let part = own.map_or(0.0, |zone| f64::from(zone.fallback_share) / 1e3);
+            let zone_plan = plan.zones.get(&digest.zone);
+            let fallback = zone_plan.and_then(|zone| zone.fallback.as_ref());
+            let fallback_share = zone_plan.map_or(0.0, |zone| f64::from(zone.fallback_share) / 1e3);
             let home = self.zones.iter().position(|zone| *zone == digest.zone);
             let own_zone_demand = home.map_or(0.0, |home| demand[home]);
-            let overflow =
-                self.zones.iter().map(|to| if second == Some(to) { part * own_zone_demand } else { 0.0 });
+            let overflow = self.zones.iter().map(|to| {
+                if fallback == Some(to) {
+                    fallback_share * own_zone_demand
+                } else {
+                    0.0
+                }
+            });
             let used = self.zones.iter().map(|zone| digest.zones.get(zone).map_or(0, |seen| seen.held()));
             let used: Vec<u32> = used.collect();
             let acknowledges = record.is_some_and(|plan| {
@@ -319,7 +324,7 @@
             };
             holders.insert(name.clone(), holder);
         }
-        // Everything stays reserved for balancers that do not report.
+        // A balancer that does not report keeps everything that is reserved for it.
         for name in self.silent_since.keys() {
             let Some(grant) = previous_grant(name) else { continue };
             let demand = grant.limits.iter().map(|limit| f64::from(*limit)).collect();
@@ -327,7 +332,7 @@
             let holder = Holder { started, demand, held, zone: usize::MAX, ..Holder::default() };
             holders.insert(name.clone(), holder);
         }
-        let capacities: Vec<u32> = capacities.iter().map(|room| room.floor() as u32).collect();
+        let capacities: Vec<u32> = capacities.iter().map(|capacity| capacity.floor() as u32).collect();
         capacity::grant_limits(&capacities, &holders)
     }
 
@@ -339,8 +344,8 @@
         for name in silent {
             self.silent_since.entry(name).or_insert(now);
         }
-        let kept = SILENT_RESERVATION_LIFETIMES * self.settings.plan_lifetime;
-        self.silent_since.retain(|_, since| now < *since + kept);
+        let reservation_time = SILENT_RESERVATION_LIFETIMES * self.settings.plan_lifetime;
+        self.silent_since.retain(|_, since| now < *since + reservation_time);
     }
 
     /// Restores the state of the paths from a plan that another planner made.
--- a/src/failover/plan_tests.rs
+++ b/src/failover/plan_tests.rs
@@ -1,4 +1,4 @@
-//! Laws of the plan over random zones, and every mixture of two plans in a small case.
+//! Properties of the plan over random zones, and every mixture of two plans in a small case.
 
 use super::super::allocation::Allocation;
 use super::super::evidence::ZoneObservations;
@@ -20,26 +20,26 @@
     }
 }
 
-fn question(wants: Vec<Vec<f64>>, room: Vec<f64>, before: Allocation) -> AllocationInput {
-    let n = room.len();
-    let classes = names(wants[0].len());
-    let (open, stands) = (vec![vec![1.0; n]; n], vec![0.0; n]);
+fn allocation_input(demand: Vec<Vec<f64>>, capacity: Vec<f64>, before: Allocation) -> AllocationInput {
+    let n = capacity.len();
+    let classes = names(demand[0].len());
+    let (open, established) = (vec![vec![1.0; n]; n], vec![0.0; n]);
     AllocationInput {
         zones: names(n),
         classes,
-        demand: wants,
-        capacity: room,
+        demand,
+        capacity,
         open,
         previously_allocated: before,
-        established: stands,
+        established,
     }
 }
 
-fn to(amounts: &Allocation, t: usize) -> f64 {
-    amounts.iter().flatten().map(|to| to[t]).sum()
+fn allocated_to(allocation: &Allocation, t: usize) -> f64 {
+    allocation.iter().flatten().map(|to| to[t]).sum()
 }
 
-fn zones() -> impl Strategy<Value = (Vec<Vec<f64>>, Vec<f64>, Vec<Vec<bool>>)> {
+fn zones_with_demand() -> impl Strategy<Value = (Vec<Vec<f64>>, Vec<f64>, Vec<Vec<bool>>)> {
     let amount = || (0u32..60).prop_map(f64::from);
     (
         prop::collection::vec(prop::collection::vec(amount(), 2), 4),
@@ -49,80 +49,80 @@
 }
 
 proptest! {
-    /// Guards against room that is passed, more given than wanted, what is worth less going before what is worth more,
-    /// and traffic that crosses while there is room near.
+    /// Guards against an allocation above the capacity or the demand, a less valuable class before a more valuable one, and
+    /// traffic that crosses zones while there is capacity nearer.
     #[test]
-    fn no_room_is_passed_near_comes_first_and_worth_goes_before((wants, room, open) in zones()) {
-        let mut q = question(wants, room, Vec::new());
-        q.open = open.iter().map(|row| row.iter().map(|o| f64::from(u8::from(*o))).collect()).collect();
-        let amounts = staged_allocation(&q, distance);
-        prop_assert_eq!(&staged_allocation(&q, distance), &amounts);
+    fn allocations_keep_capacity_and_prefer_near_zones_and_valuable_classes((demand, capacity, open) in zones_with_demand()) {
+        let mut input = allocation_input(demand, capacity, Vec::new());
+        input.open = open.iter().map(|row| row.iter().map(|o| f64::from(u8::from(*o))).collect()).collect();
+        let allocation = staged_allocation(&input, distance);
+        prop_assert_eq!(&staged_allocation(&input, distance), &allocation);
         for t in 0..4 {
-            prop_assert!(to(&amounts, t) <= q.capacity[t] + 1e-6);
-            let left = q.capacity[t] - to(&amounts, t);
+            prop_assert!(allocated_to(&allocation, t) <= input.capacity[t] + 1e-6);
+            let left = input.capacity[t] - allocated_to(&allocation, t);
             for f in 0..4 {
-                prop_assert!(open[f][t] || amounts[f].iter().all(|to| to[t] == 0.0));
-                let unserved: f64 = (0..2).map(|c| q.demand[f][c] - amounts[f][c].iter().sum::<f64>()).sum();
-                prop_assert!(unserved < 1e-6 || !open[f][t] || left < 1e-6, "refused beside room");
-                // Nobody goes farther than to a zone that has room and is open.
-                let farther = (0..4).filter(|&u| distance(f, u) > distance(f, t)).any(|u| amounts[f].iter().any(|to| to[u] > 1e-6));
-                prop_assert!(!farther || !open[f][t] || left < 1e-6, "{f} goes past {t}");
+                prop_assert!(open[f][t] || allocation[f].iter().all(|to| to[t] == 0.0));
+                let unserved: f64 = (0..2).map(|c| input.demand[f][c] - allocation[f][c].iter().sum::<f64>()).sum();
+                prop_assert!(unserved < 1e-6 || !open[f][t] || left < 1e-6, "refused despite free capacity");
+                // No client goes farther than the nearest open zone with free capacity.
+                let farther = (0..4).filter(|&u| distance(f, u) > distance(f, t)).any(|u| allocation[f].iter().any(|to| to[u] > 1e-6));
+                prop_assert!(!farther || !open[f][t] || left < 1e-6, "clients of {f} go past {t}");
             }
         }
-        // Where the worthier class of a zone is refused the other one has nothing at a zone that both may go to.
+        // If the more valuable class of a zone is refused, the other class has nothing in any zone open to both.
         for f in 0..4 {
-            if q.demand[f][0] - amounts[f][0].iter().sum::<f64>() > 1e-6 {
-                let low: f64 = (0..4).filter(|&t| open[f][t]).map(|t| (0..4).map(|g| amounts[g][1][t]).sum::<f64>()).sum();
-                prop_assert!(low < 1e-6, "{f}: {amounts:?}");
+            if input.demand[f][0] - allocation[f][0].iter().sum::<f64>() > 1e-6 {
+                let low: f64 = (0..4).filter(|&t| open[f][t]).map(|t| (0..4).map(|g| allocation[g][1][t]).sum::<f64>()).sum();
+                prop_assert!(low < 1e-6, "{f}: {allocation:?}");
             }
         }
     }
 
-    /// Guards against more room near that sends more away, where nobody is refused.
+    /// Guards against added capacity in a zone that sends more of its clients away, while no client is refused.
     #[test]
-    fn more_room_near_never_sends_more_away((wants, room, _) in zones(), z in 0usize..4, more in 1u32..40) {
-        let wants: Vec<Vec<f64>> = wants.iter().map(|of| of.iter().map(|w| (w / 5.0).floor()).collect()).collect();
-        let ask = |room: &[f64]| staged_allocation(&question(wants.clone(), room.to_vec(), Vec::new()), distance);
-        let away = |amounts: &Allocation| amounts[z].iter().map(|to| to.iter().sum::<f64>() - to[z]).sum::<f64>();
-        let mut larger = room.clone();
+    fn more_capacity_in_a_zone_never_sends_more_of_its_clients_away((demand, capacity, _) in zones_with_demand(), z in 0usize..4, more in 1u32..40) {
+        let demand: Vec<Vec<f64>> = demand.iter().map(|of| of.iter().map(|w| (w / 5.0).floor()).collect()).collect();
+        let allocate = |capacity: &[f64]| staged_allocation(&allocation_input(demand.clone(), capacity.to_vec(), Vec::new()), distance);
+        let away = |allocation: &Allocation| allocation[z].iter().map(|to| to.iter().sum::<f64>() - to[z]).sum::<f64>();
+        let mut larger = capacity.clone();
         larger[z] += f64::from(more);
-        let (before, after) = (ask(&room), ask(&larger));
+        let (before, after) = (allocate(&capacity), allocate(&larger));
         let served = before.iter().flatten().flatten().sum::<f64>();
-        // Who was refused may find room far away once others are nearer.
-        prop_assume!(served >= wants.iter().flatten().sum::<f64>() - 1e-6);
+        // Clients that were refused may get capacity far away once others have moved nearer.
+        prop_assume!(served >= demand.iter().flatten().sum::<f64>() - 1e-6);
         prop_assert!(away(&after) <= away(&before) + 1e-6);
     }
 
-    /// Guards against plans that each keep a room and together fill it: who came by an earlier plan and is refused by a later one
-    /// goes on standing, while others come in by the later one. Here nobody ever leaves by itself.
+    /// Guards against successive plans that each keep a zone's capacity and together exceed it: a client that a later plan refuses
+    /// keeps its connection, while the later plan admits others. In this test no client leaves by itself.
     #[test]
-    fn no_row_of_plans_fills_a_zone_past_its_room(
-        wants in prop::array::uniform3(0u32..40),
-        room in prop::array::uniform3(0u32..60),
-        ways in prop::collection::vec(prop::array::uniform9(any::<bool>()), 2..8),
+    fn successive_plans_never_fill_a_zone_above_its_capacity(
+        demand in prop::array::uniform3(0u32..40),
+        capacity in prop::array::uniform3(0u32..60),
+        open_paths in prop::collection::vec(prop::array::uniform9(any::<bool>()), 2..8),
     ) {
-        let wants: Vec<Vec<f64>> = wants.iter().map(|w| vec![f64::from(*w)]).collect();
-        let mut q = question(wants, room.map(f64::from).to_vec(), Vec::new());
-        let mut stand = [[0.0f64; 3]; 3];
-        for open in ways {
-            q.open = open.chunks(3).map(|row| row.iter().map(|open| f64::from(u8::from(*open))).collect()).collect();
-            let plan = staged_allocation(&q, distance);
+        let demand: Vec<Vec<f64>> = demand.iter().map(|w| vec![f64::from(*w)]).collect();
+        let mut input = allocation_input(demand, capacity.map(f64::from).to_vec(), Vec::new());
+        let mut established = [[0.0f64; 3]; 3];
+        for open in open_paths {
+            input.open = open.chunks(3).map(|row| row.iter().map(|open| f64::from(u8::from(*open))).collect()).collect();
+            let plan = staged_allocation(&input, distance);
             for (f, t) in (0..3).flat_map(|f| (0..3).map(move |t| (f, t))) {
-                stand[f][t] = stand[f][t].max(plan[f][0][t]);
+                established[f][t] = established[f][t].max(plan[f][0][t]);
             }
-            q.established = (0..3).map(|t| stand.iter().map(|from| from[t]).sum()).collect();
-            q.previously_allocated = plan;
+            input.established = (0..3).map(|t| established.iter().map(|from| from[t]).sum()).collect();
+            input.previously_allocated = plan;
             for t in 0..3 {
-                prop_assert!(q.established[t] <= q.capacity[t] + 1e-9, "{} of {} at {t}: {stand:?}", q.established[t], q.capacity[t]);
+                prop_assert!(input.established[t] <= input.capacity[t] + 1e-9, "{} of {} at {t}: {established:?}", input.established[t], input.capacity[t]);
             }
         }
     }
 }
 
-/// Guards against two plans at once that together pass a room: three zones, every want and room of 0, 2 and 4, every plan that
-/// follows from another, and each balancer's zone on either of the two.
+/// Guards against two plans in force at once that together exceed a zone's capacity: three zones, every demand and capacity of 0, 2
+/// and 4, every plan that follows another, and each zone's balancers on either of the two.
 #[test]
-fn no_mixture_of_a_plan_with_the_next_passes_a_room() {
+fn no_mixture_of_a_plan_with_the_next_exceeds_a_capacity() {
     let figures = [0.0, 2.0, 4.0];
     let all = || {
         let three = move || {
@@ -130,46 +130,57 @@
                 .into_iter()
                 .flat_map(move |a| figures.into_iter().flat_map(move |b| figures.map(|c| [a, b, c])))
         };
-        three().flat_map(move |wants| three().map(move |room| (wants, room)))
+        three().flat_map(move |demand| three().map(move |capacity| (demand, capacity)))
     };
-    let ask = |wants: [f64; 3], room: [f64; 3], before: Allocation| {
-        question(wants.iter().map(|w| vec![*w]).collect(), room.to_vec(), before)
+    let input_for = |demand: [f64; 3], capacity: [f64; 3], before: Allocation| {
+        allocation_input(demand.iter().map(|w| vec![*w]).collect(), capacity.to_vec(), before)
     };
     let mut mixtures = 0u64;
-    for (wants, first) in all() {
-        let before = staged_allocation(&ask(wants, first, Vec::new()), distance);
-        for room in all().filter(|(w, _)| *w == wants).map(|(_, room)| room) {
-            let after = staged_allocation(&ask(wants, room, before.clone()), distance);
+    for (demand, first_capacity) in all() {
+        let before = staged_allocation(&input_for(demand, first_capacity, Vec::new()), distance);
+        for capacity in all().filter(|(w, _)| *w == demand).map(|(_, capacity)| capacity) {
+            let after = staged_allocation(&input_for(demand, capacity, before.clone()), distance);
             for mixture in 0..8 {
                 mixtures += 1;
                 let on = |f: usize| if mixture >> f & 1 == 0 { &before[f] } else { &after[f] };
                 for t in 0..3 {
                     let given: f64 = (0..3).map(|f| on(f)[0][t]).sum();
-                    // A room that has become smaller than what was planned is not passed by more than it was.
-                    let most = room[t].max(to(&before, t));
-                    assert!(given <= most + 1e-9, "{wants:?} {first:?} {room:?} {mixture}: {given} at {t}");
+                    // Where the capacity fell below the previous allocation, that allocation is the bound.
+                    let most = capacity[t].max(allocated_to(&before, t));
+                    assert!(
+                        given <= most + 1e-9,
+                        "{demand:?} {first_capacity:?} {capacity:?} {mixture}: {given} at {t}"
+                    );
                 }
             }
         }
     }
     println!("{mixtures} mixtures");
     assert!(mixtures > 100_000);
-    // The search finds a planner that forgets the plan before.
-    let found = all().any(|(wants, first)| {
-        let before = staged_allocation(&ask(wants, first, Vec::new()), distance);
-        all().filter(|(w, _)| *w == wants).any(|(_, room)| {
-            let forgets = staged_allocation(&ask(wants, room, Vec::new()), distance);
-            let on = |f: usize, mixture: usize| if mixture >> f & 1 == 0 { &before[f] } else { &forgets[f] };
+    // The search finds a planner that ignores the previous plan.
+    let found = all().any(|(demand, first_capacity)| {
+        let before = staged_allocation(&input_for(demand, first_capacity, Vec::new()), distance);
+        all().filter(|(w, _)| *w == demand).any(|(_, capacity)| {
+            let without_previous = staged_allocation(&input_for(demand, capacity, Vec::new()), distance);
+            let on = |f: usize, mixture: usize| {
+                if mixture >> f & 1 == 0 {
+                    &before[f]
+                } else {
+                    &without_previous[f]
+                }
+            };
             (0..8).any(|m| {
-                (0..3)
-                    .any(|t| (0..3).map(|f| on(f, m)[0][t]).sum::<f64>() > room[t].max(to(&before, t)) + 1e-9)
+                (0..3).any(|t| {
+                    (0..3).map(|f| on(f, m)[0][t]).sum::<f64>()
+                        > capacity[t].max(allocated_to(&before, t)) + 1e-9
+                })
             })
         })
     });
     assert!(found);
 }
 
-/// The planner among balancers whose zones do what a script says.
+/// A planner and simulated balancers whose zones follow a script.
 struct Fleet {
     planner: Planner,
     now: Micros,
@@ -196,7 +207,8 @@
         Fleet { planner, now: 0, plan: None, orders: BTreeMap::new(), number: 0, states: Vec::new() }
     }
 
-    /// So many seconds in which each zone serves or does not, and two balancers in each zone want so much.
+    /// Runs for this number of seconds. `serves` tells whether a path serves at a time; `want` is the demand at each of the two
+    /// balancers in every zone.
     fn run(&mut self, seconds: u64, serves: impl Fn(&str, &str, Micros) -> bool, want: u32) {
         for _ in 0..seconds * 4 {
             self.now += S / 4;
@@ -219,7 +231,7 @@
                         },
                     };
                     let zones = ["a", "b", "c"].map(|to| (to.to_string(), seen(to))).into();
-                    let wants = [("payout".to_string(), want / 4), ("watch".to_string(), want)].into();
+                    let demand = [("payout".to_string(), want / 4), ("watch".to_string(), want)].into();
                     self.number += 1;
                     let follows = self.plan.as_ref().map(|plan| plan.serial);
                     let renewal = self.plan.as_ref().map(|plan| plan.renewals);
@@ -231,10 +243,10 @@
                         follows,
                         renewal,
                         zones,
-                        demand: wants,
+                        demand,
                     };
                     self.planner.receive_digest(self.now, digest.clone());
-                    // Doubled, and an old one after it.
+                    // A digest with an older sequence number arrives after the current one.
                     self.planner.receive_digest(self.now, Digest { sequence: self.number - 1, ..digest });
                 }
             }
@@ -266,9 +278,9 @@
     }
 }
 
-/// Guards against a lost zone that is not left or is left for the far one, and a return that is not step by step.
+/// Guards against a lost zone that keeps its traffic or loses it to a far zone, and against a return in one step.
 #[test]
-fn a_lost_zone_is_left_for_its_region_and_gone_back_to_step_by_step() {
+fn traffic_of_a_lost_zone_stays_in_its_region_and_returns_step_by_step() {
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 18);
     assert!(["a", "b", "c"].iter().all(|z| fleet.state(z) == ZoneState::Near && fleet.share(z, z) > 0.99));
@@ -290,9 +302,10 @@
     assert_eq!(changes, 3, "{:?}", fleet.states);
 }
 
-/// Guards against traffic that flaps with a zone: up and down every 5 s for two minutes, it is left once and gone back to once.
+/// Guards against traffic that flaps with a zone: while the zone fails and recovers every 5 s for two minutes, traffic leaves it
+/// once and returns once.
 #[test]
-fn a_zone_that_flaps_is_left_once_and_gone_back_to_once() {
+fn traffic_leaves_a_flapping_zone_once_and_returns_once() {
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 18);
     fleet.run(120, |_, to, now| to != "b" || (now / (5 * S)).is_multiple_of(2), 18);
@@ -302,21 +315,21 @@
     assert_eq!(fleet.state("b"), ZoneState::Near);
 }
 
-/// Guards against a zone that is cut off and loses its own near traffic, and against others that spill into it.
+/// Guards against a cut-off zone that loses its own traffic, and against other zones that send traffic into it.
 #[test]
-fn a_zone_that_is_cut_off_keeps_its_own_and_gets_nobody_elses() {
+fn a_cut_off_zone_keeps_its_own_traffic_and_receives_no_other() {
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 18);
     fleet.run(10, |from, to, _| from == to || from != "a" && to != "a", 18);
     assert!(fleet.state("a") == ZoneState::Near && fleet.share("a", "a") > 0.99);
-    // b is lost too, so its traffic would be nearest at a.
+    // Zone b is lost too; zone a would be the nearest one for its traffic.
     fleet.run(10, |from, to, _| to != "b" && (from == to || from != "a" && to != "a"), 18);
     assert!(fleet.share("b", "a") == 0.0 && fleet.share("b", "c") > 0.9, "{:?}", fleet.plan);
 }
 
-/// Guards against the worthy being refused before the others when two zones are down, and a zone that is filled past its room.
+/// Guards against refusing the more valuable class first when two zones are down, and against filling a zone above its capacity.
 #[test]
-fn with_two_zones_down_the_worthy_are_served_and_the_room_is_kept() {
+fn with_two_zones_down_the_valuable_class_is_served_within_capacity() {
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 36);
     fleet.run(30, |_, to, _| to == "c", 36);
@@ -329,10 +342,11 @@
     assert!(at("payout") + at("watch") <= 90.0 && at("payout") + at("watch") > 80.0, "{plan:?}");
 }
 
-/// Guards against a zone that takes all who failed at another before the plan says so: room for a part of them is for a part.
+/// Guards against a fallback zone that takes all clients of a failed zone before a new plan is made: with capacity for a part of them,
+/// only that part may be tried there.
 #[test]
-fn whichever_zone_fails_those_tried_elsewhere_find_room_there() {
-    let mut spared = 0;
+fn whichever_zone_fails_its_fallback_has_capacity_for_the_fallback_share() {
+    let mut with_fallback = 0;
     for want in [8, 18, 24, 30, 36] {
         for down in ["none", "a", "c"] {
             let mut fleet = Fleet::new();
@@ -355,7 +369,7 @@
                 let more: f64 = tried
                     .map(|from| f64::from(plan.zones[*from].fallback_share) / 1e3 * at(from, fails))
                     .sum();
-                spared += usize::from(more > 0.0);
+                with_fallback += usize::from(more > 0.0);
                 assert!(
                     given + more <= 90.5,
                     "{want}, {down} is down, {fails} fails: {given} + {more} at {to}, {plan:?}"
@@ -363,12 +377,12 @@
             }
         }
     }
-    assert!(spared >= 12, "{spared}");
+    assert!(with_fallback >= 12, "{with_fallback}");
 }
 
-/// Guards against an operator's word that is not kept, or kept for ever, and against a planner that comes later and forgets.
+/// Guards against an operator's order that is not followed or never expires, and against a new planner that loses the state.
 #[test]
-fn orders_go_before_the_planner_and_end_and_another_planner_goes_on() {
+fn orders_override_the_planner_and_expire_and_a_new_planner_continues() {
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 18);
     let order = |number, kind, lasts_ms| Order { number, kind, lasts_ms };
@@ -383,7 +397,7 @@
     fleet.orders.insert("b".into(), order(2, OrderKind::Hold, 20_000));
     fleet.run(10, |_, to, _| to != "b", 18);
     assert_eq!(fleet.state("b"), ZoneState::Near);
-    // Another makes the plans from here on: it begins with what the last one says.
+    // A new planner continues from the last plan.
     fleet.orders.clear();
     fleet.run(10, |_, to, _| to != "b", 18);
     assert_eq!(fleet.state("b"), ZoneState::Away);
@@ -393,10 +407,10 @@
     assert_eq!((fleet.state("b"), fleet.states.len()), (ZoneState::Away, changes));
 }
 
-/// A planner that had just begun renewed the plan before it had heard anybody: it took every capacity for 0, and all clients were
-/// turned away for half a second (`zone-severed`, seed 8: `limits: [0, 0, 0]` for all nine balancers).
+/// Guards against a new planner that renews the plan before it has received any digest: it took every capacity for 0, and all
+/// clients were refused for half a second (`zone-severed`, seed 8: `limits: [0, 0, 0]` for all nine balancers).
 #[test]
-fn another_planner_leaves_the_grants_as_they_are_until_it_has_listened() {
+fn a_new_planner_keeps_the_grants_until_it_has_collected_digests() {
     let mut fleet = Fleet::new();
     fleet.run(10, |_, _, _| true, 18);
     let before = fleet.plan.clone().unwrap();
