--- a/src/broker/zones.rs
+++ b/src/broker/zones.rs
@@ -33,14 +33,15 @@
 }
 
 /// Number of this balancer's probe rounds from one with all zones to the next while every zone is healthy.
-const HEALTHY_PROBE_INTERVAL: u64 = 16;
+const HEALTHY_PROBE_INTERVAL_ROUNDS: u64 = 16;
 /// Number of balancers that probe in the same digest interval; limits the probes that all balancers send together.
 const PROBERS_PER_ROUND: u32 = 30;
 /// Time between two checks for connections that are to move.
 const MOVE_CHECK_INTERVAL: Micros = 250_000;
 /// Number of probe phases that balancers are spread over (unitless).
 const PROBE_PHASES: u64 = 4_096;
-/// Shortest retry delay of a refused client. Up to the same time again is added at random, to spread the retries.
+/// Shortest retry delay of a refused client. Up to the same time again is added by a hash of the command's id, to spread the
+/// retries.
 const MIN_RETRY_AFTER: Micros = 500_000;
 
 /// Routes commands to zones, and collects observations of the zones.
@@ -159,8 +160,8 @@
         self.follower.connection_limit(name).allows_beyond(self.occupancies.of(zone).total())
     }
 
-    /// Whether an attempt may be sent to a server now. Checked again at the send, since other attempts may have been sent after this
-    /// one was placed.
+    /// Whether an attempt may be sent to a server now. Checked again at the send, since other attempts may have been sent after
+    /// this one was placed.
     pub fn may_send(&mut self, now: Micros, host: HostId) -> bool {
         self.advance(now);
         let Some(zone) = self.zone_of(host) else { return true };
@@ -270,15 +271,16 @@
         self.observations.record_client(now, command.class, command.client(), false);
     }
 
-    /// Returns the instances to probe now, one per zone, each zone's instances in turn. Probes let a balancer detect that it is cut off,
-    /// and show that a zone without traffic is reachable, whether its own or another. A balancer probes every zone at long intervals,
-    /// with a phase of its own, and more often while a zone has failures; with more balancers each one probes less often.
+    /// Returns the instances to probe now, one per zone, each zone's instances in turn. Probes let a balancer detect that it is
+    /// cut off, and show that a zone without traffic is reachable, whether its own or another. A balancer probes every zone at
+    /// long intervals, with a phase of its own, and more often while a zone has failures; with more balancers each one probes less
+    /// often.
     pub fn next_probes(&mut self, now: Micros) -> Vec<HostId> {
         let zones = 0..self.context.zones.len();
         let any_failures = zones.clone().any(|zone| self.observations.zone_summary(now, zone).has_failures());
         let round = self.digest_sequence + self.probe_phase;
         let interval = u64::from(self.context.balancer_count.div_ceil(PROBERS_PER_ROUND)).max(1);
-        let is_regular_round = round.is_multiple_of(interval * HEALTHY_PROBE_INTERVAL);
+        let is_regular_round = round.is_multiple_of(interval * HEALTHY_PROBE_INTERVAL_ROUNDS);
         if !round.is_multiple_of(interval) {
             return Vec::new();
         }
--- a/src/failover/allocation.rs
+++ b/src/failover/allocation.rs
@@ -25,8 +25,8 @@
 /// Connections by source zone, class and destination zone.
 pub type Allocation = Vec<Vec<Vec<f64>>>;
 
-/// Returns the final allocation: class by class from the most valuable on, each zone's own clients first, then the clients of others
-/// in the nearest zone with free capacity.
+/// Returns the final allocation: class by class from the most valuable on, each zone's own clients first, then the clients of
+/// others in the nearest zone with free capacity.
 pub fn target_allocation(input: &AllocationInput, distance: impl Fn(usize, usize) -> u32) -> Allocation {
     let (n, m) = (input.zones.len(), input.classes.len());
     let mut remaining = input.capacity.clone();
--- a/src/failover/capacity.rs
+++ b/src/failover/capacity.rs
@@ -13,8 +13,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Grant {
-    /// Start time of the process that the grant is for. A later process of that name must not act on it, since it may receive a plan
-    /// that the earlier process had already replaced.
+    /// Start time of the process that the grant is for. A later process of that name must not act on it, since it may receive a
+    /// plan that the earlier process had already replaced by a later one.
     pub started: u64,
     /// Maximum number of connections, established ones and attempts in flight together.
     pub limits: Vec<u32>,
--- a/src/failover/capacity_tests.rs
+++ b/src/failover/capacity_tests.rs
@@ -2,8 +2,8 @@
 //!
 //! Without capacity leases, when two of three zones failed, the last one held 112 to 120% of its capacity: shares by a hash of the
 //! client exceeded their mean by chance, attempts in flight and connections since the last digest were not counted, and no balancer
-//! had a limit of its own. In one run, nine balancers on one plan held 58 connections in a zone for 48, and each of them kept the
-//! rules.
+//! had a limit of its own. In one run, nine balancers on one plan together held 58 connections in a zone with capacity for 48, and
+//! each of them kept the rules.
 
 use super::*;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -185,8 +185,8 @@
     }
 }
 
-/// Searches every state that two balancers with capacity for one connection reach within this number of steps. Returns the number of
-/// states, or the first one that exceeds the capacity.
+/// Searches every state that two balancers with capacity for one connection reach within this number of steps. Returns the number
+/// of states, or the first one that exceeds the capacity.
 fn search(steps: usize, fault: PlantedFault) -> Result<usize, World> {
     let first = World::new(2);
     let (mut known, mut open) = (HashSet::from([first.clone()]), vec![first]);
--- a/src/failover/evidence.rs
+++ b/src/failover/evidence.rs
@@ -286,8 +286,8 @@
         capacity: 100,
     };
 
-    /// Guards against a minority that makes a zone unhealthy: of 60 balancers in three zones a fifth see little traffic, one in each
-    /// zone reports the opposite of the truth, and one in each is cut off itself.
+    /// Guards against a minority that makes a zone unhealthy: of 60 balancers in three zones a fifth see little traffic, one in
+    /// each zone reports the opposite of the truth, and one in each is cut off itself.
     #[test]
     fn minority_of_wrong_reports_does_not_change_verdicts_and_a_lost_zone_is_detected() {
         let settings = FailoverSettings::default();
--- a/src/failover/follow.rs
+++ b/src/failover/follow.rs
@@ -3,7 +3,7 @@
 //! Guaranteed: the same client goes to the same zone under the same plan at every balancer; from one plan to the next only as many
 //! clients change zone as the shares differ by; this balancer holds no more connections in a zone than its capacity lease in the
 //! plan that it follows allows ([`super::capacity`]), except those established before the lease became smaller. A plan that is not
-//! renewed expires. The balancer fallback decides alone within its own zone, and sends nothing to another zone beyond the connections
+//! renewed expires. The balancer then decides alone within its own zone, and sends nothing to another zone beyond the connections
 //! already established there.
 
 use super::plan::{Plan, ZoneState};
@@ -146,8 +146,8 @@
         self.plan.as_ref().map(|plan| plan.0.renewals)
     }
 
-    /// Returns how many connections this balancer may hold in a zone. Without a valid plan it holds no more in another zone than when
-    /// the last plan expired, since the rest may have been granted to other balancers.
+    /// Returns how many connections this balancer may hold in a zone. Without a valid plan it holds no more in another zone than
+    /// when the last plan expired, since the rest may have been granted to other balancers.
     pub fn connection_limit(&self, zone: &str) -> ConnectionLimit {
         let own = zone == self.own_zone;
         match (&self.plan, &self.expired) {
--- a/src/failover/path.rs
+++ b/src/failover/path.rs
@@ -9,6 +9,8 @@
 /// Number of recovery periods after a change of the path within which another failure counts as repeated. A repeated failure
 /// keeps the path closed for longer.
 const REPEATED_FAILURE_PERIODS: u64 = 8;
+/// Maximum number of times that repeated failures double the recovery period.
+const MAX_RECOVERY_DOUBLINGS: u32 = 4;
 
 /// State of the path from one zone to another.
 #[derive(Clone, Debug, Default)]
@@ -37,7 +39,8 @@
         // A path without traffic shows no failures, so an answered probe is enough for a good verdict.
         track_since(&mut self.healthy_since, verdict == Verdict::Good);
         let lasted = |mark: Option<Micros>, span: Micros| mark.is_some_and(|at| now >= at + span);
-        let recovery_period = settings.recovery_confirmation << self.recent_closures.saturating_sub(1).min(4);
+        let recovery_period = settings.recovery_confirmation
+            << self.recent_closures.saturating_sub(1).min(MAX_RECOVERY_DOUBLINGS);
         match self.closed_since {
             None if lasted(self.failing_since, settings.failure_confirmation) => {
                 let repeated = self.recent_closures > 0
--- a/src/failover/plan.rs
+++ b/src/failover/plan.rs
@@ -1,10 +1,10 @@
 //! The plan: for each zone that traffic comes from, the share of each class that goes to each zone, and the reason.
 //!
-//! Guaranteed: the shares of a class sum to one at most, and the remainder is refused. As far as the digests tell, no zone is allocated
-//! more than its capacity, even while some balancers follow a plan and others the previous one: a zone is allocated more only out
-//! of capacity that is free beside everything the previous plan gives it. There are never three plans in force at once: the next
-//! plan is made when all balancers that report follow the last one, or when those that do not report can no longer follow any.
-//! The same input gives the same plan.
+//! Guaranteed: the shares of a class sum to one at most, and the remainder is refused. As far as the digests tell, no zone is
+//! allocated more than its capacity, even while some balancers follow a plan and others the previous one: a zone is allocated more
+//! only out of capacity that is free beside everything the previous plan gives it. There are never three plans in force at once:
+//! the next plan is made when all balancers that report follow the last one, or when those that do not report can no longer follow
+//! any. The same input gives the same plan.
 
 use super::allocation::{staged_allocation, AllocationInput};
 use super::capacity::{self, Grants, Holder, Report};
@@ -127,8 +127,8 @@
 /// Number of plan lifetimes for which the capacity reserved for a silent balancer is kept: it may be cut off and still hold the
 /// connections, or it may be gone.
 const SILENT_RESERVATION_LIFETIMES: u64 = 10;
-/// Shortest time between two renewals with new grants while a balancer wants more than it is granted. Otherwise they are made as
-/// often as balancers report.
+/// Shortest time between two renewals with new grants while a balancer wants more than it is granted; the digest interval applies
+/// where it is longer.
 const MIN_REGRANT_INTERVAL: Micros = 250_000;
 /// Change of a share that is worth a new plan (unitless): smaller changes are noise.
 const MIN_SHARE_CHANGE: f64 = 0.04;
@@ -265,7 +265,8 @@
             && !digests.is_empty()
     }
 
-    /// Whether new grants would give more to a balancer whose expected demand exceeds its grant, or free capacity that it waits for.
+    /// Whether new grants would give more to a balancer whose expected demand exceeds its grant, or free capacity that it waits
+    /// for.
     fn improves_any_grant(&self, plan: &Plan, grants: &Grants, digests: &Digests) -> bool {
         let limit = |grants: &Grants, name: &String, zone: usize| -> u32 {
             grants.get(name).and_then(|grant| grant.limits.get(zone)).copied().unwrap_or_default()
--- a/src/failover/plan_tests.rs
+++ b/src/failover/plan_tests.rs
@@ -207,9 +207,9 @@
         Fleet { planner, now: 0, plan: None, orders: BTreeMap::new(), number: 0, states: Vec::new() }
     }
 
-    /// Runs for this number of seconds. `serves` tells whether a path serves at a time; `want` is the demand at each of the two
-    /// balancers in every zone.
-    fn run(&mut self, seconds: u64, serves: impl Fn(&str, &str, Micros) -> bool, want: u32) {
+    /// Runs for this number of seconds. `serves` tells whether a path serves at a time. `demand_per_balancer` is the demand at each of
+    /// the two balancers in every zone.
+    fn run(&mut self, seconds: u64, serves: impl Fn(&str, &str, Micros) -> bool, demand_per_balancer: u32) {
         for _ in 0..seconds * 4 {
             self.now += S / 4;
             if self.now.is_multiple_of(S) {
@@ -231,7 +231,11 @@
                         },
                     };
                     let zones = ["a", "b", "c"].map(|to| (to.to_string(), seen(to))).into();
-                    let demand = [("payout".to_string(), want / 4), ("watch".to_string(), want)].into();
+                    let demand = [
+                        ("payout".to_string(), demand_per_balancer / 4),
+                        ("watch".to_string(), demand_per_balancer),
+                    ]
+                    .into();
                     self.number += 1;
                     let follows = self.plan.as_ref().map(|plan| plan.serial);
                     let renewal = self.plan.as_ref().map(|plan| plan.renewals);
@@ -334,30 +338,31 @@
     fleet.run(10, |_, _, _| true, 36);
     fleet.run(30, |_, to, _| to == "c", 36);
     let plan = fleet.plan.as_ref().unwrap();
-    let wanted = |class: &str| if class == "payout" { 2.0 * 9.0 } else { 2.0 * 36.0 };
+    let demand_of = |class: &str| if class == "payout" { 2.0 * 9.0 } else { 2.0 * 36.0 };
     let at = |class: &str| {
-        ["a", "b", "c"].iter().map(|from| wanted(class) * plan.share(from, class, "c")).sum::<f64>()
+        ["a", "b", "c"].iter().map(|from| demand_of(class) * plan.share(from, class, "c")).sum::<f64>()
     };
     assert!(at("payout") > 0.99 * 3.0 * 18.0, "{plan:?}");
     assert!(at("payout") + at("watch") <= 90.0 && at("payout") + at("watch") > 80.0, "{plan:?}");
 }
 
-/// Guards against a fallback zone that takes all clients of a failed zone before a new plan is made: with capacity for a part of them,
-/// only that part may be tried there.
+/// Guards against a fallback zone that takes all clients of a failed zone before a new plan is made: with capacity for a part of
+/// them, only that part may be tried there.
 #[test]
 fn whichever_zone_fails_its_fallback_has_capacity_for_the_fallback_share() {
     let mut with_fallback = 0;
-    for want in [8, 18, 24, 30, 36] {
+    for demand in [8, 18, 24, 30, 36] {
         for down in ["none", "a", "c"] {
             let mut fleet = Fleet::new();
-            fleet.run(10, |_, _, _| true, want);
-            fleet.run(20, |_, to, _| to != down, want);
+            fleet.run(10, |_, _, _| true, demand);
+            fleet.run(20, |_, to, _| to != down, demand);
             let plan = fleet.plan.as_ref().unwrap();
             let zones = ["a", "b", "c"];
-            let wanted = |class: &str| 2.0 * f64::from(if class == "payout" { want / 4 } else { want });
+            let demand_of =
+                |class: &str| 2.0 * f64::from(if class == "payout" { demand / 4 } else { demand });
             let at = |from: &str, to: &str| {
                 ["payout", "watch"]
-                    .map(|class| wanted(class) * plan.share(from, class, to))
+                    .map(|class| demand_of(class) * plan.share(from, class, to))
                     .iter()
                     .sum::<f64>()
             };
@@ -372,7 +377,7 @@
                 with_fallback += usize::from(more > 0.0);
                 assert!(
                     given + more <= 90.5,
-                    "{want}, {down} is down, {fails} fails: {given} + {more} at {to}, {plan:?}"
+                    "{demand}, {down} is down, {fails} fails: {given} + {more} at {to}, {plan:?}"
                 );
             }
         }
