--- a/src/group/voter.rs
+++ b/src/group/voter.rs
@@ -1,7 +1,7 @@
 //! A voter: tikv's raft over the record, as a driver without I/O. Messages, questions and the time go in; messages, answers
-//! and what is to be kept come out. A raft message is never sent before what it promises is kept.
+//! and what is to be kept come out. A raft message is never sent before what it promises is stored.
 //!
-//! Promised: an answer is given only for what a majority has kept. Where its folder fails, is older than what it has promised
+//! Promised: an answer is given only for what a majority has stored. Where its folder fails, is older than what it has promised
 //! from it ([`Beacon`]), or another has its place, a voter says nothing more.
 
 use super::folder::{StorageUpdate, StoredVoter, VoterStorage};
@@ -19,20 +19,36 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Between two ticks of the protocol; ten without a word, and another stands for election.
+/// Interval between ticks of the raft node.
 pub const TICK_INTERVAL: Micros = 100_000;
-/// After so many decided commands the log is cut and a snapshot takes its place.
-const CUT: u64 = 500;
-/// The most bytes of entries in one message, so that it fits a datagram.
-const MESSAGE: u64 = 700;
+/// Ticks without a message from the leader after which a voter may start an election.
+const ELECTION_TICKS: usize = 10;
+/// Extra ticks before an election for each voter with a smaller id, so that no two start one at the same time.
+const ELECTION_TICKS_PER_RANK: usize = 3;
+/// Upper bound of the randomized election timeout of a voter that joins an existing group, which has no rank yet.
+const MAX_ELECTION_TICKS: usize = 20;
+/// Ticks between heartbeats of a leader.
+const HEARTBEAT_TICKS: usize = 2;
+/// Number of messages that a leader may send to a voter before one of them is acknowledged.
+const MAX_INFLIGHT_MESSAGES: usize = 16;
+/// Number of ticks made up for after a pause of the process; older ones are dropped, so that they do not run all at once.
+const MAX_CATCH_UP_TICKS: u64 = 3;
+/// Number of applied entries after which the log is compacted into a snapshot.
+const ENTRIES_PER_SNAPSHOT: u64 = 500;
+/// Maximum size of the entries in one message, in bytes, so that a message fits into a datagram.
+const MAX_ENTRY_BYTES_PER_MESSAGE: u64 = 700;
+/// Maximum number of folders for which a voter remembers names, progress or confirmations.
+const MAX_KNOWN_FOLDERS: usize = 64;
+/// Maximum number of requests that wait for their entry to be committed; a client whose request is dropped asks again.
+const MAX_WAITING_REQUESTS: usize = 256;
 
 /// The log in memory, with the latest snapshot for those who fell behind it.
-struct Log {
+struct RaftLog {
     memory: MemStorage,
-    latest: Snapshot,
+    latest_snapshot: Snapshot,
 }
 
-impl Storage for Log {
+impl Storage for RaftLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
         self.memory.initial_state()
     }
@@ -60,10 +76,10 @@
     }
 
     fn snapshot(&self, from: u64, _: u64) -> raft::Result<Snapshot> {
-        match self.latest.get_metadata().index {
+        match self.latest_snapshot.get_metadata().index {
             0 => Err(raft::StorageError::SnapshotTemporarilyUnavailable.into()),
             index if index < from => Err(raft::StorageError::SnapshotTemporarilyUnavailable.into()),
-            _ => Ok(self.latest.clone()),
+            _ => Ok(self.latest_snapshot.clone()),
         }
     }
 }
@@ -71,7 +87,7 @@
 /// How far a voter's folder has come: told to the others, who say so when they have heard of more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FolderProgress {
-    /// The latest term that it has kept.
+    /// The latest term that it has stored.
     pub term: u64,
     /// The last that it has kept as decided.
     #[serde(rename = "decided")]
@@ -124,140 +140,143 @@
 }
 
 /// Between two beacons, and two of one that is not in yet.
-const BEACON: Micros = 1_000_000;
-const ASKING: Micros = 200_000;
+const BEACON_INTERVAL: Micros = 1_000_000;
+const JOINING_BEACON_INTERVAL: Micros = 200_000;
 /// A snapshot that was not taken by then was lost on its way.
-const TAKEN: Micros = 2_000_000;
+const SNAPSHOT_TIMEOUT: Micros = 2_000_000;
 
 /// What waits until the storage has kept a write.
-struct Unkept {
+struct PendingWrite {
     /// The number of the write.
-    write: u64,
+    write_number: u64,
     /// The number of the protocol's step that it is for.
-    step: u64,
+    ready_number: u64,
     /// Messages that promise what the write keeps.
-    promises: Vec<Message>,
+    messages: Vec<Message>,
     /// Up to where a snapshot in it is applied.
-    snapshot: Option<u64>,
+    snapshot_index: Option<u64>,
     /// How far the storage has come with it.
-    far: Option<FolderProgress>,
+    progress: Option<FolderProgress>,
 }
 
 /// One voter.
 pub struct Voter<K> {
-    node: RawNode<Log>,
-    me: String,
-    others: Vec<String>,
+    node: RawNode<RaftLog>,
+    name: String,
+    peers: Vec<String>,
     /// Numbers of folders whose names were told, beside those in the record.
-    book: BTreeMap<u64, String>,
-    keep: K,
+    known_folders: BTreeMap<u64, String>,
+    storage: K,
     /// Writes that were handed to the storage, and what waits for them.
-    saved: u64,
-    unkept: VecDeque<Unkept>,
+    writes_issued: u64,
+    pending_writes: VecDeque<PendingWrite>,
     /// Term and vote that were handed to it last.
-    kept_hard: HardState,
-    instead: Option<String>,
+    issued_hard_state: HardState,
+    replaces: Option<String>,
     state: State,
     terms: LeaseTerms,
     /// How far its folder has come, and how far the others say that theirs have.
-    far: FolderProgress,
-    heard: BTreeMap<u64, FolderProgress>,
+    progress: FolderProgress,
+    reported_progress: BTreeMap<u64, FolderProgress>,
     /// Others that have answered it since its start; none once it is in.
-    answered: Option<Vec<u64>>,
-    told: Micros,
+    confirmed_by: Option<Vec<u64>>,
+    beacon_sent_at: Micros,
     /// Who is being sent a snapshot, since when.
-    sent: BTreeMap<u64, Micros>,
+    snapshots_sent_at: BTreeMap<u64, Micros>,
     /// Why it must not go on.
-    wrong: Option<String>,
+    fatal_error: Option<String>,
     /// What it looks after while it leads, and every command of the leaders before it is in the state.
-    watch: Option<LeaseMonitor>,
+    lease_monitor: Option<LeaseMonitor>,
     /// Who asked what was proposed here and is not decided, by the number in the entry.
-    waits: BTreeMap<u64, (String, u64)>,
-    proposed: u64,
-    ticked: Micros,
-    freed: Micros,
-    applied: u64,
+    waiting_requests: BTreeMap<u64, (String, u64)>,
+    last_proposal: u64,
+    ticked_at: Micros,
+    expiry_checked_at: Micros,
+    applied_index: u64,
     /// The leader's folder and the term when they were logged last.
-    known_leader: (u64, u64),
-    said: Vec<Outgoing>,
+    logged_leader: (u64, u64),
+    outgoing: Vec<Outgoing>,
 }
 
 impl<K: VoterStorage> Voter<K> {
-    /// The voter of this name, with what it has kept.
+    /// The voter of this name, with what it has stored.
     /// `others`: who is asked at first.
     pub fn new(
         now: Micros,
-        me: &str,
-        others: &[String],
+        name: &str,
+        peers: &[String],
         terms: LeaseTerms,
-        keep: K,
-        kept: StoredVoter,
+        storage: K,
+        stored: StoredVoter,
     ) -> Result<Voter<K>, String> {
-        let told = |e: raft::Error| e.to_string();
+        let error_text = |e: raft::Error| e.to_string();
         let memory = MemStorage::new();
         let (mut state, mut applied) = (State::default(), 0);
         {
             let mut log = memory.wl();
-            if kept.snapshot.get_metadata().index > 0 {
-                state = State::decode(&kept.snapshot.data)
+            if stored.snapshot.get_metadata().index > 0 {
+                state = State::decode(&stored.snapshot.data)
                     .ok_or("its snapshot cannot be read: a newer program wrote it")?;
-                applied = kept.snapshot.get_metadata().index;
-                log.apply_snapshot(kept.snapshot.clone()).map_err(told)?;
+                applied = stored.snapshot.get_metadata().index;
+                log.apply_snapshot(stored.snapshot.clone()).map_err(error_text)?;
             }
-            let behind: Vec<Entry> = kept.entries.iter().filter(|e| e.index > applied).cloned().collect();
-            log.append(&behind).map_err(told)?;
-            if kept.hard_state.term > 0 {
-                let mut hard = kept.hard_state.clone();
-                hard.commit = hard.commit.max(applied);
-                log.set_hardstate(hard);
+            let entries: Vec<Entry> = stored.entries.iter().filter(|e| e.index > applied).cloned().collect();
+            log.append(&entries).map_err(error_text)?;
+            if stored.hard_state.term > 0 {
+                let mut hard_state = stored.hard_state.clone();
+                hard_state.commit = hard_state.commit.max(applied);
+                log.set_hardstate(hard_state);
             }
         }
         // Each stands for election at a time of its own, so that no two do at once; one that joins draws it.
-        let rank = kept.snapshot.get_metadata().get_conf_state().voters.iter().filter(|id| **id < kept.id);
-        let first = 10 + 3 * rank.count();
+        let rank =
+            stored.snapshot.get_metadata().get_conf_state().voters.iter().filter(|id| **id < stored.id);
+        let first = ELECTION_TICKS + ELECTION_TICKS_PER_RANK * rank.count();
         let (min_election_tick, max_election_tick) =
-            if kept.replaces.is_none() { (first, first + 1) } else { (10, 20) };
+            if stored.replaces.is_none() { (first, first + 1) } else { (ELECTION_TICKS, MAX_ELECTION_TICKS) };
         let config = Config {
-            id: kept.id,
-            election_tick: 10,
+            id: stored.id,
+            election_tick: ELECTION_TICKS,
             min_election_tick,
             max_election_tick,
-            heartbeat_tick: 2,
+            heartbeat_tick: HEARTBEAT_TICKS,
             applied,
-            max_size_per_msg: MESSAGE,
-            max_inflight_msgs: 16,
+            max_size_per_msg: MAX_ENTRY_BYTES_PER_MESSAGE,
+            max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
-        let quiet = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, Log { memory, latest: kept.snapshot }, &quiet).map_err(told)?;
+        let discard_logger = slog::Logger::root(slog::Discard, slog::o!());
+        let node =
+            RawNode::new(&config, RaftLog { memory, latest_snapshot: stored.snapshot }, &discard_logger)
+                .map_err(error_text)?;
         Ok(Voter {
             node,
-            me: me.into(),
-            others: others.iter().filter(|name| *name != me).cloned().collect(),
-            book: BTreeMap::new(),
-            keep,
-            saved: 0,
-            kept_hard: kept.hard_state.clone(),
-            unkept: VecDeque::new(),
-            instead: kept.replaces,
+            name: name.into(),
+            peers: peers.iter().filter(|other| *other != name).cloned().collect(),
+            known_folders: BTreeMap::new(),
+            storage,
+            writes_issued: 0,
+            issued_hard_state: stored.hard_state.clone(),
+            pending_writes: VecDeque::new(),
+            replaces: stored.replaces,
             state,
             terms,
-            far: FolderProgress { term: kept.hard_state.term, committed: kept.hard_state.commit },
-            heard: BTreeMap::new(),
-            answered: Some(Vec::new()),
-            told: 0,
-            sent: BTreeMap::new(),
-            wrong: None,
-            watch: None,
-            waits: BTreeMap::new(),
-            proposed: 0,
-            ticked: now,
-            freed: now,
-            applied,
-            known_leader: (0, 0),
-            said: Vec::new(),
+            progress: FolderProgress { term: stored.hard_state.term, committed: stored.hard_state.commit },
+            reported_progress: BTreeMap::new(),
+            confirmed_by: Some(Vec::new()),
+            beacon_sent_at: 0,
+            snapshots_sent_at: BTreeMap::new(),
+            fatal_error: None,
+            lease_monitor: None,
+            waiting_requests: BTreeMap::new(),
+            last_proposal: 0,
+            ticked_at: now,
+            expiry_checked_at: now,
+            applied_index: applied,
+            logged_leader: (0, 0),
+            outgoing: Vec::new(),
         })
     }
 
@@ -268,16 +287,16 @@
 
     /// Whether it leads, and the record is whole here.
     pub fn is_ready_leader(&self) -> bool {
-        self.watch.is_some()
+        self.lease_monitor.is_some()
     }
 
-    fn name(&self, id: u64) -> Option<&str> {
-        self.state.voters.get(&id).or_else(|| self.book.get(&id)).map(String::as_str)
+    fn folder_name(&self, id: u64) -> Option<&str> {
+        self.state.voters.get(&id).or_else(|| self.known_folders.get(&id)).map(String::as_str)
     }
 
     /// Who leads, as far as it knows, and the term.
     pub fn leader(&self) -> (Option<&str>, u64) {
-        (self.name(self.node.raft.leader_id), self.node.raft.term)
+        (self.folder_name(self.node.raft.leader_id), self.node.raft.term)
     }
 
     /// Another takes over, if one can.
@@ -297,7 +316,7 @@
             return Err("is for another group".into());
         }
         // Nothing is promised before the others have said that this folder is not an older one.
-        if self.answered.is_some() || self.wrong.is_some() {
+        if self.confirmed_by.is_some() || self.fatal_error.is_some() {
             return Ok(());
         }
         self.node.step(message).map_err(|e| e.to_string())
@@ -308,52 +327,56 @@
         if beacon.id == self.node.raft.id {
             return;
         }
-        if self.book.len() < 64 {
-            self.book.insert(beacon.id, beacon.name.clone());
+        if self.known_folders.len() < MAX_KNOWN_FOLDERS {
+            self.known_folders.insert(beacon.id, beacon.name.clone());
         }
         if let Some((id, far)) = beacon.heard {
             if id == self.node.raft.id {
-                if far > self.far {
-                    self.wrong = Some(format!(
+                if far > self.progress {
+                    self.fatal_error = Some(format!(
                         "its folder is an older copy: it has kept {:?}, {} has heard {far:?}",
-                        self.far, beacon.name
+                        self.progress, beacon.name
                     ));
                 }
                 // Only those count who vote, as far as is known here.
-                if let Some(answered) =
-                    self.answered.as_mut().filter(|all| !all.contains(&beacon.id) && all.len() < 64)
+                if let Some(confirmed_by) = self
+                    .confirmed_by
+                    .as_mut()
+                    .filter(|all| !all.contains(&beacon.id) && all.len() < MAX_KNOWN_FOLDERS)
                 {
-                    answered.push(beacon.id);
+                    confirmed_by.push(beacon.id);
                 }
             }
         }
-        if self.heard.len() < 64 || self.heard.contains_key(&beacon.id) {
-            let heard = self.heard.entry(beacon.id).or_default();
+        if self.reported_progress.len() < MAX_KNOWN_FOLDERS || self.reported_progress.contains_key(&beacon.id)
+        {
+            let heard = self.reported_progress.entry(beacon.id).or_default();
             *heard = beacon.progress.max(*heard);
             // An answer is not answered.
             if beacon.heard.is_none() {
                 let heard = Some((beacon.id, *heard));
-                let answer = Beacon { heard, ..self.own() };
-                self.said.push(Outgoing::Beacon { to: beacon.name.clone(), beacon: answer });
+                let answer = Beacon { heard, ..self.own_beacon() };
+                self.outgoing.push(Outgoing::Beacon { to: beacon.name.clone(), beacon: answer });
             }
         }
-        self.let_in(beacon);
+        self.propose_replacement(beacon);
     }
 
-    fn own(&self) -> Beacon {
+    fn own_beacon(&self) -> Beacon {
         let id = self.node.raft.id;
-        let instead = self.instead.clone().filter(|_| !self.is_member());
-        Beacon { name: self.me.clone(), id, progress: self.far, heard: None, replaces: instead }
+        let replaces = self.replaces.clone().filter(|_| !self.is_member());
+        Beacon { name: self.name.clone(), id, progress: self.progress, heard: None, replaces }
     }
 
     /// Whoever wants a place takes it from the one that had it, in one step that both majorities keep.
-    fn let_in(&mut self, beacon: &Beacon) {
-        let Some(instead) = beacon.replaces.as_ref().filter(|_| self.is_ready_leader()) else { return };
-        let had = |(_, name): &(&u64, &String)| *name == instead;
-        let (seats, me) = (&self.state.voters, self.node.raft.id);
-        let twice = seats.contains_key(&beacon.id)
-            || instead != &beacon.name && seats.values().any(|name| *name == beacon.name);
-        let Some(&old) = seats.iter().find(had).map(|(id, _)| id).filter(|&&id| id != me && !twice) else {
+    fn propose_replacement(&mut self, beacon: &Beacon) {
+        let Some(replaces) = beacon.replaces.as_ref().filter(|_| self.is_ready_leader()) else { return };
+        let named = |(_, name): &(&u64, &String)| *name == replaces;
+        let (voters, me) = (&self.state.voters, self.node.raft.id);
+        let conflicts = voters.contains_key(&beacon.id)
+            || replaces != &beacon.name && voters.values().any(|name| *name == beacon.name);
+        let Some(&old) = voters.iter().find(named).map(|(id, _)| id).filter(|&&id| id != me && !conflicts)
+        else {
             return;
         };
         let change = |kind, id| {
@@ -362,13 +385,13 @@
             change.node_id = id;
             change
         };
-        let mut both = ConfChangeV2::default();
-        both.set_changes(
+        let mut joint_change = ConfChangeV2::default();
+        joint_change.set_changes(
             vec![change(ConfChangeType::AddNode, beacon.id), change(ConfChangeType::RemoveNode, old)].into(),
         );
-        both.context = beacon.name.clone().into();
+        joint_change.context = beacon.name.clone().into();
         // Refused while another change is under way: it is asked for again.
-        let _ = self.node.propose_conf_change(Vec::new(), both);
+        let _ = self.node.propose_conf_change(Vec::new(), joint_change);
     }
 
     /// Somebody wants the record changed. `false`: this voter does not lead, ask another.
@@ -377,196 +400,201 @@
     }
 
     fn propose(&mut self, command: &Command, from: Option<(String, u64)>) -> bool {
-        self.proposed += 1;
-        let mark = self.proposed.to_le_bytes().to_vec();
-        let taken = self.node.propose(mark, command.encode()).is_ok();
-        if let Some(from) = from.filter(|_| taken) {
-            self.waits.insert(self.proposed, from);
+        self.last_proposal += 1;
+        let proposal = self.last_proposal.to_le_bytes().to_vec();
+        let accepted = self.node.propose(proposal, command.encode()).is_ok();
+        if let Some(from) = from.filter(|_| accepted) {
+            self.waiting_requests.insert(self.last_proposal, from);
             // Whoever has not been answered by then asks again.
-            while self.waits.len() > 256 {
-                self.waits.pop_first();
+            while self.waiting_requests.len() > MAX_WAITING_REQUESTS {
+                self.waiting_requests.pop_first();
             }
         }
-        taken
+        accepted
     }
 
     /// Tells the others how far this folder has come; whether this voter is in.
-    fn tells(&mut self, now: Micros) -> bool {
-        let every = if self.answered.is_some() || self.own().replaces.is_some() { ASKING } else { BEACON };
-        if now >= self.told + every {
-            self.told = now;
-            let (me, beacon) = (self.node.raft.id, self.own());
-            let known = self.state.voters.iter().chain(&self.book).filter(|(id, _)| **id != me);
-            let names = known.map(|(_, name)| name).filter(|name| **name != self.me);
-            let mut names: Vec<&String> = names.chain(&self.others).collect();
+    fn exchange_beacons(&mut self, now: Micros) -> bool {
+        let interval = if self.confirmed_by.is_some() || self.own_beacon().replaces.is_some() {
+            JOINING_BEACON_INTERVAL
+        } else {
+            BEACON_INTERVAL
+        };
+        if now >= self.beacon_sent_at + interval {
+            self.beacon_sent_at = now;
+            let (me, beacon) = (self.node.raft.id, self.own_beacon());
+            let known = self.state.voters.iter().chain(&self.known_folders).filter(|(id, _)| **id != me);
+            let names = known.map(|(_, name)| name).filter(|name| **name != self.name);
+            let mut names: Vec<&String> = names.chain(&self.peers).collect();
             names.sort();
             names.dedup();
-            let said =
+            let beacons =
                 names.into_iter().map(|to| Outgoing::Beacon { to: to.clone(), beacon: beacon.clone() });
-            self.said.extend(said);
+            self.outgoing.extend(beacons);
         }
-        if let Some(answered) = &self.answered {
+        if let Some(confirmed_by) = &self.confirmed_by {
             // With itself these are a majority; one that has no place yet has promised nobody anything.
-            let seats = &self.state.voters;
-            let voters = answered.iter().filter(|id| seats.contains_key(id)).count();
-            if seats.is_empty() || voters >= seats.len() / 2 {
-                self.answered = None;
+            let voters = &self.state.voters;
+            let confirmed = confirmed_by.iter().filter(|id| voters.contains_key(id)).count();
+            if voters.is_empty() || confirmed >= voters.len() / 2 {
+                self.confirmed_by = None;
             }
         }
-        self.answered.is_none()
+        self.confirmed_by.is_none()
     }
 
     /// Does what is due; what is to be said afterwards. After an error this voter must be dropped.
     pub fn poll(&mut self, now: Micros) -> Result<Vec<Outgoing>, String> {
-        let inside = self.tells(now);
-        if let Some(wrong) = self.wrong.take() {
-            return Err(wrong);
+        let established = self.exchange_beacons(now);
+        if let Some(fatal_error) = self.fatal_error.take() {
+            return Err(fatal_error);
         }
-        if !inside {
-            self.ticked = now;
-            return Ok(std::mem::take(&mut self.said));
+        if !established {
+            self.ticked_at = now;
+            return Ok(std::mem::take(&mut self.outgoing));
         }
         // One that was stopped does not make up for all of it at once.
-        self.ticked = self.ticked.max(now.saturating_sub(3 * TICK_INTERVAL));
-        while now >= self.ticked + TICK_INTERVAL {
-            self.ticked += TICK_INTERVAL;
+        self.ticked_at = self.ticked_at.max(now.saturating_sub(MAX_CATCH_UP_TICKS * TICK_INTERVAL));
+        while now >= self.ticked_at + TICK_INTERVAL {
+            self.ticked_at += TICK_INTERVAL;
             self.node.tick();
         }
-        self.settle(now)?;
-        if now >= self.freed + TICK_INTERVAL {
-            self.freed = now;
-            let over = match &mut self.watch {
-                Some(watch) => watch.expired(now, &self.terms, &self.state),
+        self.process_ready(now)?;
+        if now >= self.expiry_checked_at + TICK_INTERVAL {
+            self.expiry_checked_at = now;
+            let expired = match &mut self.lease_monitor {
+                Some(monitor) => monitor.expired(now, &self.terms, &self.state),
                 None => Vec::new(),
             };
-            for free in &over {
+            for free in &expired {
                 self.propose(free, None);
             }
-            self.resend(now);
-            self.settle(now)?;
+            self.retry_snapshots(now);
+            self.process_ready(now)?;
         }
-        Ok(std::mem::take(&mut self.said))
+        Ok(std::mem::take(&mut self.outgoing))
     }
 
     /// Snapshots that were lost on their way are sent again.
-    fn resend(&mut self, now: Micros) {
+    fn retry_snapshots(&mut self, now: Micros) {
         let progress = self.node.raft.prs().iter();
-        let taking = progress.filter(|(_, p)| p.state == ProgressState::Snapshot).map(|(id, _)| *id);
-        let taking: Vec<u64> = taking.collect();
-        self.sent.retain(|id, _| taking.contains(id));
-        for id in taking {
-            if now >= *self.sent.entry(id).or_insert(now) + TAKEN {
-                self.sent.remove(&id);
+        let receiving = progress.filter(|(_, p)| p.state == ProgressState::Snapshot).map(|(id, _)| *id);
+        let receiving: Vec<u64> = receiving.collect();
+        self.snapshots_sent_at.retain(|id, _| receiving.contains(id));
+        for id in receiving {
+            if now >= *self.snapshots_sent_at.entry(id).or_insert(now) + SNAPSHOT_TIMEOUT {
+                self.snapshots_sent_at.remove(&id);
                 self.node.report_snapshot(id, SnapshotStatus::Failure);
             }
         }
     }
 
-    fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
-        self.keep.save(save)?;
-        self.saved += 1;
+    fn save(&mut self, update: StorageUpdate) -> Result<(), String> {
+        self.storage.save(update)?;
+        self.writes_issued += 1;
         Ok(())
     }
 
     /// Goes on with what the storage has kept meanwhile: only now its promises are sent.
-    fn take_kept(&mut self) -> Result<(), String> {
-        let kept = self.keep.persisted(self.saved)?;
-        while let Some(done) = self.unkept.pop_front_if(|unkept| unkept.write <= kept) {
-            self.far = done.far.map_or(self.far, |far| self.far.max(far));
-            self.node.on_persist_ready(done.step);
-            if let Some(index) = done.snapshot {
+    fn complete_writes(&mut self) -> Result<(), String> {
+        let persisted = self.storage.persisted(self.writes_issued)?;
+        while let Some(done) = self.pending_writes.pop_front_if(|pending| pending.write_number <= persisted) {
+            self.progress = done.progress.map_or(self.progress, |progress| self.progress.max(progress));
+            self.node.on_persist_ready(done.ready_number);
+            if let Some(index) = done.snapshot_index {
                 self.node.advance_apply_to(index);
             }
-            self.send(done.promises);
+            self.send(done.messages);
         }
         Ok(())
     }
 
-    fn settle(&mut self, now: Micros) -> Result<(), String> {
-        self.take_kept()?;
+    fn process_ready(&mut self, now: Micros) -> Result<(), String> {
+        self.complete_writes()?;
         while self.node.has_ready() {
-            self.step(now)?;
-            self.take_kept()?;
+            self.process_one_ready(now)?;
+            self.complete_writes()?;
         }
-        self.note_leader();
+        self.log_leader_change();
         if self.node.raft.state != StateRole::Leader {
-            self.watch = None;
-            self.waits.clear();
+            self.lease_monitor = None;
+            self.waiting_requests.clear();
         }
-        let from = self.node.store().latest.get_metadata().index;
-        if self.applied < from + CUT {
+        let snapshot_index = self.node.store().latest_snapshot.get_metadata().index;
+        if self.applied_index < snapshot_index + ENTRIES_PER_SNAPSHOT {
             return Ok(());
         }
-        self.cut()
+        self.compact_log()
     }
 
     /// One step of the protocol: sends what promises nothing, hands what must be kept to the storage, and applies what is decided.
-    fn step(&mut self, now: Micros) -> Result<(), String> {
+    fn process_one_ready(&mut self, now: Micros) -> Result<(), String> {
         let mut ready = self.node.ready();
         self.send(ready.take_messages());
         let snapshot = Some(ready.snapshot().clone()).filter(|snapshot| !snapshot.is_empty());
         if let Some(snapshot) = &snapshot {
-            self.take_snapshot(snapshot)?;
+            self.install_snapshot(snapshot)?;
         }
-        let (entries, hard) = (ready.entries().clone(), ready.hs().cloned());
-        let written = self.keep_step(&entries, hard.as_ref(), snapshot.as_ref())?;
+        let (entries, hard_state) = (ready.entries().clone(), ready.hs().cloned());
+        let written = self.issue_write(&entries, hard_state.as_ref(), snapshot.as_ref())?;
         {
             let mut log = self.node.store().memory.wl();
             log.append(&entries).map_err(|e| e.to_string())?;
-            hard.iter().for_each(|hard| log.set_hardstate(hard.clone()));
+            hard_state.iter().for_each(|hard_state| log.set_hardstate(hard_state.clone()));
         }
-        self.unkept.push_back(Unkept {
-            write: self.saved,
-            step: ready.number(),
-            promises: ready.take_persisted_messages(),
-            snapshot: snapshot.map(|snapshot| snapshot.get_metadata().index),
-            far: hard
+        self.pending_writes.push_back(PendingWrite {
+            write_number: self.writes_issued,
+            ready_number: ready.number(),
+            messages: ready.take_persisted_messages(),
+            snapshot_index: snapshot.map(|snapshot| snapshot.get_metadata().index),
+            progress: hard_state
                 .filter(|_| written)
-                .map(|hard| FolderProgress { term: hard.term, committed: hard.commit }),
+                .map(|hard_state| FolderProgress { term: hard_state.term, committed: hard_state.commit }),
         });
-        let decided = ready.take_committed_entries();
+        let committed = ready.take_committed_entries();
         self.node.advance_append_async(ready);
-        if let Some(last) = decided.last().map(|entry| entry.index) {
-            self.apply(now, decided)?;
+        if let Some(last) = committed.last().map(|entry| entry.index) {
+            self.apply_entries(now, committed)?;
             self.node.advance_apply_to(last);
         }
         Ok(())
     }
 
-    fn take_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), String> {
+    fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), String> {
         self.state = State::decode(&snapshot.data).ok_or("a snapshot came that cannot be read")?;
-        self.applied = snapshot.get_metadata().index;
+        self.applied_index = snapshot.get_metadata().index;
         let store = self.node.mut_store();
         store.memory.wl().apply_snapshot(snapshot.clone()).map_err(|e| e.to_string())?;
-        store.latest = snapshot.clone();
+        store.latest_snapshot = snapshot.clone();
         Ok(())
     }
 
     /// Hands to the storage what must be kept of a step; whether there was any.
-    fn keep_step(
+    fn issue_write(
         &mut self,
         entries: &[Entry],
-        hard: Option<&HardState>,
+        hard_state: Option<&HardState>,
         snapshot: Option<&Snapshot>,
     ) -> Result<bool, String> {
         // A leader's log says what it has decided: that alone is no cause to write.
         let leads = self.node.raft.state == StateRole::Leader;
-        let kept = &self.kept_hard;
-        let news = hard.is_some_and(|hard| !leads || (hard.term, hard.vote) != (kept.term, kept.vote));
-        if entries.is_empty() && snapshot.is_none() && !news {
+        let issued = &self.issued_hard_state;
+        let must_write_hard_state =
+            hard_state.is_some_and(|new| !leads || (new.term, new.vote) != (issued.term, issued.vote));
+        if entries.is_empty() && snapshot.is_none() && !must_write_hard_state {
             return Ok(false);
         }
-        if let Some(hard) = hard {
-            self.kept_hard = hard.clone();
+        if let Some(hard_state) = hard_state {
+            self.issued_hard_state = hard_state.clone();
         }
-        self.save(StorageUpdate { entries, hard_state: hard, snapshot, reset_log: snapshot.is_some() })?;
+        self.save(StorageUpdate { entries, hard_state, snapshot, reset_log: snapshot.is_some() })?;
         Ok(true)
     }
 
-    fn note_leader(&mut self) {
+    fn log_leader_change(&mut self) {
         let leader = (self.node.raft.leader_id, self.node.raft.term);
-        if leader != self.known_leader {
-            self.known_leader = leader;
+        if leader != self.logged_leader {
+            self.logged_leader = leader;
             let (leader, term) = self.leader();
             tracing::info!(leader, term, "group: leader");
         }
@@ -574,40 +602,43 @@
 
     fn send(&mut self, messages: Vec<Message>) {
         for message in messages {
-            let to = self.name(message.to).map(String::from);
+            let to = self.folder_name(message.to).map(String::from);
             if let Some((to, bytes)) = to.zip(message.write_to_bytes().ok()) {
-                self.said.push(Outgoing::Message { to, bytes });
+                self.outgoing.push(Outgoing::Message { to, bytes });
             }
         }
     }
 
-    fn apply(&mut self, now: Micros, entries: Vec<Entry>) -> Result<(), String> {
+    fn apply_entries(&mut self, now: Micros, entries: Vec<Entry>) -> Result<(), String> {
         for entry in entries {
-            self.applied = entry.index;
+            self.applied_index = entry.index;
             let leads = self.node.raft.state == StateRole::Leader && entry.term == self.node.raft.term;
             if entry.get_entry_type() == EntryType::EntryConfChangeV2 {
-                self.reseat(&entry)?;
+                self.apply_membership_change(&entry)?;
             } else if !entry.data.is_empty() {
                 // To pass over what the others apply would be another record than theirs.
                 let command = Command::decode(&entry.data);
                 let command = command.ok_or("a newer program decided what this one cannot read")?;
                 let outcome = self.state.apply(&command);
-                let mark = <[u8; 8]>::try_from(&entry.context[..]).map(u64::from_le_bytes);
-                if let Some((to, id)) = mark.ok().filter(|_| leads).and_then(|mark| self.waits.remove(&mark))
+                let proposal = <[u8; 8]>::try_from(&entry.context[..]).map(u64::from_le_bytes);
+                if let Some((to, id)) = proposal
+                    .ok()
+                    .filter(|_| leads)
+                    .and_then(|proposal| self.waiting_requests.remove(&proposal))
                 {
-                    self.said.push(Outgoing::Answer { to, id, outcome });
+                    self.outgoing.push(Outgoing::Answer { to, id, outcome });
                 }
             }
-            if leads && self.watch.is_none() {
+            if leads && self.lease_monitor.is_none() {
                 // All that leaders before this one decided is in the state: from now on it looks after leases.
-                self.watch = Some(LeaseMonitor::new(now, &self.state));
+                self.lease_monitor = Some(LeaseMonitor::new(now, &self.state));
             }
         }
         Ok(())
     }
 
     /// The voters have changed, or both majorities have and one is enough from now on.
-    fn reseat(&mut self, entry: &Entry) -> Result<(), String> {
+    fn apply_membership_change(&mut self, entry: &Entry) -> Result<(), String> {
         let change = ConfChangeV2::parse_from_bytes(&entry.data).map_err(|e| e.to_string())?;
         let conf = self.node.apply_conf_change(&change).map_err(|e| e.to_string())?;
         let new = change.get_changes().iter().find(|c| c.get_change_type() == ConfChangeType::AddNode);
@@ -616,32 +647,32 @@
         self.state.set_voters(&ids, new.map(|new| (new.node_id, name)));
         self.node.store().memory.wl().set_conf_state(conf);
         // Whoever is new begins with a record that names it.
-        self.cut()
+        self.compact_log()
     }
 
     /// Whether its folder is among the voters, and those of the change before it are needed no more.
     pub fn is_member(&self) -> bool {
-        let over = self.node.raft.prs().conf().to_conf_state().voters_outgoing.is_empty();
-        over && self.state.voters.contains_key(&self.node.raft.id)
+        let outside_joint_change = self.node.raft.prs().conf().to_conf_state().voters_outgoing.is_empty();
+        outside_joint_change && self.state.voters.contains_key(&self.node.raft.id)
     }
 
     /// Whether another has its place now, by a record that is as late as its own or later.
     pub fn is_replaced(&self, record: &State) -> bool {
-        let had = self.instead.is_none() || self.is_member();
-        had && record.version >= self.state.version && !record.voters.contains_key(&self.node.raft.id)
+        let was_member = self.replaces.is_none() || self.is_member();
+        was_member && record.version >= self.state.version && !record.voters.contains_key(&self.node.raft.id)
     }
 
-    fn cut(&mut self) -> Result<(), String> {
-        let told = |e: raft::Error| e.to_string();
+    fn compact_log(&mut self) -> Result<(), String> {
+        let error_text = |e: raft::Error| e.to_string();
         let mut snapshot = Snapshot::default();
-        snapshot.mut_metadata().index = self.applied;
-        snapshot.mut_metadata().term = self.node.store().term(self.applied).map_err(told)?;
+        snapshot.mut_metadata().index = self.applied_index;
+        snapshot.mut_metadata().term = self.node.store().term(self.applied_index).map_err(error_text)?;
         *snapshot.mut_metadata().mut_conf_state() = self.node.raft.prs().conf().to_conf_state();
         snapshot.data = self.state.encode().into();
         self.save(StorageUpdate { snapshot: Some(&snapshot), ..StorageUpdate::default() })?;
         let store = self.node.mut_store();
-        store.memory.wl().compact(self.applied).map_err(told)?;
-        store.latest = snapshot;
+        store.memory.wl().compact(self.applied_index).map_err(error_text)?;
+        store.latest_snapshot = snapshot;
         Ok(())
     }
 }
--- a/src/group/voter_tests.rs
+++ b/src/group/voter_tests.rs
@@ -242,7 +242,7 @@
     // One is away while the log is cut, and is told by a snapshot.
     let away = (net.leader().unwrap() + 1) % 3;
     net.voters[away] = None;
-    for id in 10..10 + CUT + 50 {
+    for id in 10..10 + ENTRIES_PER_SNAPSHOT + 50 {
         let token = match net.decide(2 * id, acquire("z")) {
             Outcome::Granted(token) => token,
             other => panic!("{other:?}"),
@@ -250,7 +250,7 @@
         net.decide(2 * id + 1, Command::Return { task: "t".into(), token });
         net.answers.clear();
     }
-    assert!(net.kept[net.leader().unwrap()].0.borrow().0.entries.len() <= 2 * CUT as usize);
+    assert!(net.kept[net.leader().unwrap()].0.borrow().0.entries.len() <= 2 * ENTRIES_PER_SNAPSHOT as usize);
     net.start(away);
     let whole = net.voters[net.leader().unwrap()].as_ref().unwrap().state().last_token;
     net.until("the snapshot", |net| net.voters[away].as_ref().unwrap().state().last_token == whole);
