--- a/src/group/voter.rs
+++ b/src/group/voter.rs
@@ -1,8 +1,10 @@
-//! A voter: tikv's raft over the record, as a driver without I/O. Messages, questions and the time go in; messages, answers
-//! and what is to be kept come out. A raft message is never sent before what it promises is stored.
+//! A voter of the group: tikv's raft over the replicated record, as a driver without I/O. Messages, requests and the time go
+//! in; messages, answers and storage updates come out.
 //!
-//! Promised: an answer is given only for what a majority has stored. Where its folder fails, is older than what it has promised
-//! from it ([`Beacon`]), or another has its place, a voter says nothing more.
+//! Guarantees: a raft message that depends on a write is sent only after the storage has persisted that write, and a client is
+//! answered only after its command has been committed by a majority. A voter stops for good where its storage fails, where its
+//! folder is older than what it has already announced from it ([`Beacon`]), or where another folder has replaced it in the
+//! group. Not guaranteed: progress without a majority, and an answer to every request; clients ask again.
 
 use super::folder::{StorageUpdate, StoredVoter, VoterStorage};
 use super::lease::{LeaseMonitor, LeaseTerms};
@@ -42,7 +44,7 @@
 /// Maximum number of requests that wait for their entry to be committed; a client whose request is dropped asks again.
 const MAX_WAITING_REQUESTS: usize = 256;
 
-/// The log in memory, with the latest snapshot for those who fell behind it.
+/// The log in memory, with the latest snapshot for voters that need entries from before the start of the log.
 struct RaftLog {
     memory: MemStorage,
     latest_snapshot: Snapshot,
@@ -84,123 +86,129 @@
     }
 }
 
-/// How far a voter's folder has come: told to the others, who say so when they have heard of more.
+/// How far a voter's folder has progressed. Voters announce it to each other; where one has seen a later value for a folder than
+/// the folder holds, the folder is an older copy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FolderProgress {
-    /// The latest term that it has stored.
+    /// The latest term that the folder has stored.
     pub term: u64,
-    /// The last that it has kept as decided.
+    /// The highest commit index that the folder has stored.
     #[serde(rename = "decided")]
     pub committed: u64,
 }
 
-/// What a voter tells the others of its folder now and then, and asks them at its start.
+/// Announcement of a voter's folder, sent to the other voters at its start and periodically after it. The receiver answers with
+/// the progress that it has seen of that folder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Beacon {
-    /// Whose.
+    /// Name of the sending voter.
     pub name: String,
-    /// The folder's number.
+    /// Id of the sender's folder.
     pub id: u64,
-    /// How far it has come.
+    /// Progress of the sender's folder.
     #[serde(rename = "far")]
     pub progress: FolderProgress,
-    /// In an answer: what was heard of the folder with this number.
+    /// In an answer: the id of the recipient's folder, and the latest progress that the sender has seen of it.
     pub heard: Option<(u64, FolderProgress)>,
-    /// It wants to be let in, in this one's place.
+    /// Name of the voter whose place the sender asks for; none once the sender is a member.
     #[serde(rename = "instead")]
     pub replaces: Option<String>,
 }
 
-/// What a voter wants said.
+/// What a voter sends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outgoing {
-    /// To another voter.
+    /// A beacon to another voter.
     Beacon {
-        /// Its name.
+        /// Name of the recipient.
         to: String,
-        /// The words.
+        /// The beacon.
         beacon: Beacon,
     },
-    /// To another voter.
+    /// A raft message to another voter.
     Message {
-        /// Its name.
+        /// Name of the recipient.
         to: String,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// To whoever asked.
+    /// The answer to a request.
     Answer {
-        /// Who.
+        /// Name of the client.
         to: String,
-        /// The number of the question.
+        /// The client's id of the request.
         id: u64,
-        /// What came of it.
+        /// The outcome of the command.
         outcome: Outcome,
     },
 }
 
-/// Between two beacons, and two of one that is not in yet.
+/// Interval between beacons of an established voter.
 const BEACON_INTERVAL: Micros = 1_000_000;
+/// Interval between beacons of a voter that is not confirmed or not a member yet.
 const JOINING_BEACON_INTERVAL: Micros = 200_000;
-/// A snapshot that was not taken by then was lost on its way.
+/// Time after which a snapshot that the recipient has not applied counts as lost and is sent again.
 const SNAPSHOT_TIMEOUT: Micros = 2_000_000;
 
-/// What waits until the storage has kept a write.
+/// A write that the storage has not persisted yet, with what waits for it.
 struct PendingWrite {
-    /// The number of the write.
+    /// Sequence number of the write.
     write_number: u64,
-    /// The number of the protocol's step that it is for.
+    /// Number of the raft `Ready` that the write belongs to.
     ready_number: u64,
-    /// Messages that promise what the write keeps.
+    /// Messages that may be sent only once the write is persisted.
     messages: Vec<Message>,
-    /// Up to where a snapshot in it is applied.
+    /// Index of the snapshot in the write, if there is one.
     snapshot_index: Option<u64>,
-    /// How far the storage has come with it.
+    /// Progress of the folder once the write is persisted.
     progress: Option<FolderProgress>,
 }
 
-/// One voter.
+/// A voter of the group.
 pub struct Voter<K> {
     node: RawNode<RaftLog>,
     name: String,
     peers: Vec<String>,
-    /// Numbers of folders whose names were told, beside those in the record.
+    /// Names of voters by folder id, learned from beacons; those of members are in the record.
     known_folders: BTreeMap<u64, String>,
     storage: K,
-    /// Writes that were handed to the storage, and what waits for them.
+    /// Number of writes that were handed to the storage.
     writes_issued: u64,
+    /// Those that are not persisted yet, oldest first.
     pending_writes: VecDeque<PendingWrite>,
-    /// Term and vote that were handed to it last.
+    /// The hard state that was handed to the storage last.
     issued_hard_state: HardState,
+    /// Name of the voter whose place this folder was created to take.
     replaces: Option<String>,
     state: State,
     terms: LeaseTerms,
-    /// How far its folder has come, and how far the others say that theirs have.
+    /// Progress of this voter's folder.
     progress: FolderProgress,
+    /// Latest progress announced by other folders, by folder id.
     reported_progress: BTreeMap<u64, FolderProgress>,
-    /// Others that have answered it since its start; none once it is in.
+    /// Folders that have answered a beacon since the start; `None` once a majority has and the voter takes part.
     confirmed_by: Option<Vec<u64>>,
     beacon_sent_at: Micros,
-    /// Who is being sent a snapshot, since when.
+    /// Since when each folder has been receiving a snapshot.
     snapshots_sent_at: BTreeMap<u64, Micros>,
-    /// Why it must not go on.
+    /// Why the voter must stop.
     fatal_error: Option<String>,
-    /// What it looks after while it leads, and every command of the leaders before it is in the state.
+    /// Watches the leases while this voter leads and has applied all entries of earlier leaders.
     lease_monitor: Option<LeaseMonitor>,
-    /// Who asked what was proposed here and is not decided, by the number in the entry.
+    /// Client and request id of proposals that are not committed yet, by the number in the entry.
     waiting_requests: BTreeMap<u64, (String, u64)>,
     last_proposal: u64,
     ticked_at: Micros,
     expiry_checked_at: Micros,
     applied_index: u64,
-    /// The leader's folder and the term when they were logged last.
+    /// The leader's folder id and the term that were logged last.
     logged_leader: (u64, u64),
     outgoing: Vec<Outgoing>,
 }
 
 impl<K: VoterStorage> Voter<K> {
-    /// The voter of this name, with what it has stored.
-    /// `others`: who is asked at first.
+    /// Creates the voter with this name from its stored state. `peers` are the voters that its first beacons go to, beside those
+    /// in the record.
     pub fn new(
         now: Micros,
         name: &str,
@@ -216,7 +224,7 @@
             let mut log = memory.wl();
             if stored.snapshot.get_metadata().index > 0 {
                 state = State::decode(&stored.snapshot.data)
-                    .ok_or("its snapshot cannot be read: a newer program wrote it")?;
+                    .ok_or("its snapshot cannot be decoded: it was written by a newer version")?;
                 applied = stored.snapshot.get_metadata().index;
                 log.apply_snapshot(stored.snapshot.clone()).map_err(error_text)?;
             }
@@ -228,7 +236,8 @@
                 log.set_hardstate(hard_state);
             }
         }
-        // Each stands for election at a time of its own, so that no two do at once; one that joins draws it.
+        // Election timeouts differ by rank, so that no two voters start an election at once; a joining voter has no rank and
+        // draws a random timeout.
         let rank =
             stored.snapshot.get_metadata().get_conf_state().voters.iter().filter(|id| **id < stored.id);
         let first = ELECTION_TICKS + ELECTION_TICKS_PER_RANK * rank.count();
@@ -280,12 +289,12 @@
         })
     }
 
-    /// The record as this voter knows it.
+    /// Returns the record as far as this voter has applied it.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Whether it leads, and the record is whole here.
+    /// Whether this voter leads and has applied every entry of the leaders before it.
     pub fn is_ready_leader(&self) -> bool {
         self.lease_monitor.is_some()
     }
@@ -294,12 +303,12 @@
         self.state.voters.get(&id).or_else(|| self.known_folders.get(&id)).map(String::as_str)
     }
 
-    /// Who leads, as far as it knows, and the term.
+    /// Returns the name of the leader, as far as it is known, and the current term.
     pub fn leader(&self) -> (Option<&str>, u64) {
         (self.folder_name(self.node.raft.leader_id), self.node.raft.term)
     }
 
-    /// Another takes over, if one can.
+    /// Asks the most up-to-date other voter to take over the leadership. Returns whether this voter led.
     pub fn step_down(&mut self) -> bool {
         let me = self.node.raft.id;
         let all = self.state.voters.keys().copied();
@@ -309,20 +318,20 @@
         leads
     }
 
-    /// A message from another voter.
+    /// Handles a raft message from another voter.
     pub fn handle_message(&mut self, bytes: &[u8]) -> Result<(), String> {
         let message = Message::parse_from_bytes(bytes).map_err(|e| e.to_string())?;
         if message.to != self.node.raft.id {
-            return Err("is for another group".into());
+            return Err("the raft message is addressed to another folder".into());
         }
-        // Nothing is promised before the others have said that this folder is not an older one.
+        // A voter takes no part before a majority has confirmed that its folder is not an older copy.
         if self.confirmed_by.is_some() || self.fatal_error.is_some() {
             return Ok(());
         }
         self.node.step(message).map_err(|e| e.to_string())
     }
 
-    /// Another voter told how far its folder has come; what it has heard of this one may stand beside.
+    /// Handles a beacon: notes the sender's progress, compares what it has seen of this folder with the folder, and answers.
     pub fn handle_beacon(&mut self, beacon: &Beacon) {
         if beacon.id == self.node.raft.id {
             return;
@@ -330,15 +339,15 @@
         if self.known_folders.len() < MAX_KNOWN_FOLDERS {
             self.known_folders.insert(beacon.id, beacon.name.clone());
         }
-        if let Some((id, far)) = beacon.heard {
+        if let Some((id, progress)) = beacon.heard {
             if id == self.node.raft.id {
-                if far > self.progress {
+                if progress > self.progress {
                     self.fatal_error = Some(format!(
-                        "its folder is an older copy: it has kept {:?}, {} has heard {far:?}",
+                        "its folder is an older copy: it has stored {:?}, {} has seen {progress:?}",
                         self.progress, beacon.name
                     ));
                 }
-                // Only those count who vote, as far as is known here.
+                // All confirmations are noted; `exchange_beacons` counts only those of known voters.
                 if let Some(confirmed_by) = self
                     .confirmed_by
                     .as_mut()
@@ -352,7 +361,7 @@
         {
             let heard = self.reported_progress.entry(beacon.id).or_default();
             *heard = beacon.progress.max(*heard);
-            // An answer is not answered.
+            // An answer gets no answer of its own.
             if beacon.heard.is_none() {
                 let heard = Some((beacon.id, *heard));
                 let answer = Beacon { heard, ..self.own_beacon() };
@@ -368,7 +377,8 @@
         Beacon { name: self.name.clone(), id, progress: self.progress, heard: None, replaces }
     }
 
-    /// Whoever wants a place takes it from the one that had it, in one step that both majorities keep.
+    /// As leader, proposes the membership change that a beacon asks for: the new folder replaces that of the named voter, by joint
+    /// consensus, so that the majorities of the old and of the new voters both have to agree.
     fn propose_replacement(&mut self, beacon: &Beacon) {
         let Some(replaces) = beacon.replaces.as_ref().filter(|_| self.is_ready_leader()) else { return };
         let named = |(_, name): &(&u64, &String)| *name == replaces;
@@ -390,11 +400,12 @@
             vec![change(ConfChangeType::AddNode, beacon.id), change(ConfChangeType::RemoveNode, old)].into(),
         );
         joint_change.context = beacon.name.clone().into();
-        // Refused while another change is under way: it is asked for again.
+        // Rejected while another change is in progress; the joining voter asks again with its next beacon.
         let _ = self.node.propose_conf_change(Vec::new(), joint_change);
     }
 
-    /// Somebody wants the record changed. `false`: this voter does not lead, ask another.
+    /// Proposes a command for a client. Returns false where this voter is not a ready leader or raft rejects the proposal; the
+    /// client should then ask another voter.
     pub fn request(&mut self, from: &str, id: u64, command: &Command) -> bool {
         self.is_ready_leader() && self.propose(command, Some((from.into(), id)))
     }
@@ -405,7 +416,7 @@
         let accepted = self.node.propose(proposal, command.encode()).is_ok();
         if let Some(from) = from.filter(|_| accepted) {
             self.waiting_requests.insert(self.last_proposal, from);
-            // Whoever has not been answered by then asks again.
+            // Clients whose requests are dropped here ask again.
             while self.waiting_requests.len() > MAX_WAITING_REQUESTS {
                 self.waiting_requests.pop_first();
             }
@@ -413,7 +424,7 @@
         accepted
     }
 
-    /// Tells the others how far this folder has come; whether this voter is in.
+    /// Sends beacons when they are due. Returns whether a majority has confirmed this folder, so that the voter may take part.
     fn exchange_beacons(&mut self, now: Micros) -> bool {
         let interval = if self.confirmed_by.is_some() || self.own_beacon().replaces.is_some() {
             JOINING_BEACON_INTERVAL
@@ -433,7 +444,7 @@
             self.outgoing.extend(beacons);
         }
         if let Some(confirmed_by) = &self.confirmed_by {
-            // With itself these are a majority; one that has no place yet has promised nobody anything.
+            // With this voter itself these are a majority. A folder without a record has made no promise to anyone and needs none.
             let voters = &self.state.voters;
             let confirmed = confirmed_by.iter().filter(|id| voters.contains_key(id)).count();
             if voters.is_empty() || confirmed >= voters.len() / 2 {
@@ -443,7 +454,7 @@
         self.confirmed_by.is_none()
     }
 
-    /// Does what is due; what is to be said afterwards. After an error this voter must be dropped.
+    /// Does the work that is due and returns what is to be sent. After an error the voter must be dropped.
     pub fn poll(&mut self, now: Micros) -> Result<Vec<Outgoing>, String> {
         let established = self.exchange_beacons(now);
         if let Some(fatal_error) = self.fatal_error.take() {
@@ -453,7 +464,7 @@
             self.ticked_at = now;
             return Ok(std::mem::take(&mut self.outgoing));
         }
-        // One that was stopped does not make up for all of it at once.
+        // After a pause only the last few ticks are made up for.
         self.ticked_at = self.ticked_at.max(now.saturating_sub(MAX_CATCH_UP_TICKS * TICK_INTERVAL));
         while now >= self.ticked_at + TICK_INTERVAL {
             self.ticked_at += TICK_INTERVAL;
@@ -475,7 +486,7 @@
         Ok(std::mem::take(&mut self.outgoing))
     }
 
-    /// Snapshots that were lost on their way are sent again.
+    /// Reports snapshots that were not applied in time as failed, so that raft sends them again.
     fn retry_snapshots(&mut self, now: Micros) {
         let progress = self.node.raft.prs().iter();
         let receiving = progress.filter(|(_, p)| p.state == ProgressState::Snapshot).map(|(id, _)| *id);
@@ -495,7 +506,7 @@
         Ok(())
     }
 
-    /// Goes on with what the storage has kept meanwhile: only now its promises are sent.
+    /// Completes the writes that the storage has persisted meanwhile and sends the messages that depend on them.
     fn complete_writes(&mut self) -> Result<(), String> {
         let persisted = self.storage.persisted(self.writes_issued)?;
         while let Some(done) = self.pending_writes.pop_front_if(|pending| pending.write_number <= persisted) {
@@ -527,7 +538,8 @@
         self.compact_log()
     }
 
-    /// One step of the protocol: sends what promises nothing, hands what must be kept to the storage, and applies what is decided.
+    /// Processes one raft `Ready`: sends the messages that depend on no write, hands entries, hard state and snapshot to the
+    /// storage, and applies committed entries.
     fn process_one_ready(&mut self, now: Micros) -> Result<(), String> {
         let mut ready = self.node.ready();
         self.send(ready.take_messages());
@@ -561,7 +573,7 @@
     }
 
     fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), String> {
-        self.state = State::decode(&snapshot.data).ok_or("a snapshot came that cannot be read")?;
+        self.state = State::decode(&snapshot.data).ok_or("a received snapshot cannot be decoded")?;
         self.applied_index = snapshot.get_metadata().index;
         let store = self.node.mut_store();
         store.memory.wl().apply_snapshot(snapshot.clone()).map_err(|e| e.to_string())?;
@@ -569,14 +581,14 @@
         Ok(())
     }
 
-    /// Hands to the storage what must be kept of a step; whether there was any.
+    /// Hands what must be persisted of a `Ready` to the storage. Returns whether there was anything to write.
     fn issue_write(
         &mut self,
         entries: &[Entry],
         hard_state: Option<&HardState>,
         snapshot: Option<&Snapshot>,
     ) -> Result<bool, String> {
-        // A leader's log says what it has decided: that alone is no cause to write.
+        // A leader recovers its commit index from the log of a majority: a change of it alone needs no write.
         let leads = self.node.raft.state == StateRole::Leader;
         let issued = &self.issued_hard_state;
         let must_write_hard_state =
@@ -596,7 +608,7 @@
         if leader != self.logged_leader {
             self.logged_leader = leader;
             let (leader, term) = self.leader();
-            tracing::info!(leader, term, "group: leader");
+            tracing::info!(leader, term, "group: the leader or the term changed");
         }
     }
 
@@ -616,9 +628,10 @@
             if entry.get_entry_type() == EntryType::EntryConfChangeV2 {
                 self.apply_membership_change(&entry)?;
             } else if !entry.data.is_empty() {
-                // To pass over what the others apply would be another record than theirs.
+                // Skipping a command that other voters apply would make this voter's record differ from theirs.
                 let command = Command::decode(&entry.data);
-                let command = command.ok_or("a newer program decided what this one cannot read")?;
+                let command = command
+                    .ok_or("a committed command cannot be decoded: it was proposed by a newer version")?;
                 let outcome = self.state.apply(&command);
                 let proposal = <[u8; 8]>::try_from(&entry.context[..]).map(u64::from_le_bytes);
                 if let Some((to, id)) = proposal
@@ -630,14 +643,14 @@
                 }
             }
             if leads && self.lease_monitor.is_none() {
-                // All that leaders before this one decided is in the state: from now on it looks after leases.
+                // Every entry of earlier leaders is applied by now, so the state is complete and leases can be watched.
                 self.lease_monitor = Some(LeaseMonitor::new(now, &self.state));
             }
         }
         Ok(())
     }
 
-    /// The voters have changed, or both majorities have and one is enough from now on.
+    /// Applies a membership change: the entry into joint consensus, or the return from it to one set of voters.
     fn apply_membership_change(&mut self, entry: &Entry) -> Result<(), String> {
         let change = ConfChangeV2::parse_from_bytes(&entry.data).map_err(|e| e.to_string())?;
         let conf = self.node.apply_conf_change(&change).map_err(|e| e.to_string())?;
@@ -646,17 +659,17 @@
         let ids: Vec<u64> = conf.voters.iter().chain(&conf.voters_outgoing).copied().collect();
         self.state.set_voters(&ids, new.map(|new| (new.node_id, name)));
         self.node.store().memory.wl().set_conf_state(conf);
-        // Whoever is new begins with a record that names it.
+        // A new voter starts from a snapshot whose record contains it.
         self.compact_log()
     }
 
-    /// Whether its folder is among the voters, and those of the change before it are needed no more.
+    /// Whether this folder is a voter and no membership change is in progress.
     pub fn is_member(&self) -> bool {
         let outside_joint_change = self.node.raft.prs().conf().to_conf_state().voters_outgoing.is_empty();
         outside_joint_change && self.state.voters.contains_key(&self.node.raft.id)
     }
 
-    /// Whether another has its place now, by a record that is as late as its own or later.
+    /// Whether another folder has replaced this one, by a record that is at least as recent as its own.
     pub fn is_replaced(&self, record: &State) -> bool {
         let was_member = self.replaces.is_none() || self.is_member();
         was_member && record.version >= self.state.version && !record.voters.contains_key(&self.node.raft.id)
