--- a/src/group/folder.rs
+++ b/src/group/folder.rs
@@ -1,8 +1,9 @@
-//! Where a voter keeps what it has promised: its log, its vote and a snapshot, synced before it answers anybody.
+//! Durable storage of a voter: its log, its hard state (term, vote, commit index) and a snapshot.
 //!
-//! Promised: what [`VoterStorage::save`] has returned from is there after a kill; a write that was cut short is there whole or not at
-//! all (redb); a folder of another voter or group is refused. A voter without a folder does not vote: `group found` makes one,
-//! once, so that a voter whose folder was lost cannot vote a second time for what its old self voted against.
+//! Guarantees: a write is durable when [`VoterStorage::save`] of a [`VoterFolder`] returns, and survives a kill of the process;
+//! a write that was interrupted is there in full or not at all (redb); the folder of another voter is refused. A voter without a
+//! folder does not vote: `group found` creates the folder once, so that a voter whose folder was lost cannot vote a second time
+//! in a term in which it has voted already.
 
 use super::record::State;
 use protobuf::Message as _;
@@ -13,30 +14,31 @@
 
 const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The file in the folder.
+/// Name of the database file in the folder.
 const FILE_NAME: &str = "voter.redb";
-/// Milliseconds by which each write is late, for the rig that tests slow disks: read from here, and from nowhere else.
+/// Environment variable with a delay for each write, in milliseconds; tests simulate slow disks with it. This is the only place
+/// that reads it.
 const WRITE_DELAY_VARIABLE: &str = "OAKDEAL_RIG_WRITE_DELAY_MS";
-/// A write that takes longer than this is logged.
+/// Duration of a write above which it is logged as slow.
 const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// What a voter kept.
+/// The stored state of a voter.
 #[derive(Clone, Debug, Default)]
 pub struct StoredVoter {
-    /// Its number: another folder of the same voter is another one.
+    /// Id of the folder in the group; another folder of the same voter has another id.
     pub id: u64,
-    /// Whose place it takes, where it was made for a group that is there.
+    /// Name of the voter whose place this folder takes, where it was created for a group that exists already.
     pub replaces: Option<String>,
-    /// Entries behind the snapshot.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Term, vote and what is known to be decided.
+    /// Term, vote and commit index.
     pub hard_state: HardState,
-    /// The snapshot; empty at first.
+    /// The latest snapshot; empty in a folder created for an existing group.
     pub snapshot: Snapshot,
 }
 
 impl StoredVoter {
-    /// That of a voter of a new group: all of them begin with the same record.
+    /// Returns the initial state of a voter of a new group; all its voters begin with the same record.
     pub fn for_new_group(owner: &str, names: &[String]) -> StoredVoter {
         let voters = names.iter().map(|name| (founder_id(name), name.clone())).collect();
         let state = State { version: 1, voters, ..State::default() };
@@ -49,48 +51,49 @@
         StoredVoter { id: founder_id(owner), replaces: None, entries: Vec::new(), hard_state, snapshot }
     }
 
-    /// That of a voter that takes another's place, or its own after its folder was lost. The figure is never the same.
+    /// Returns the initial state of a voter that replaces another one, or itself after its folder was lost. `nonce` must differ for
+    /// each folder of a voter.
     pub fn for_replacement(owner: &str, replaces: &str, nonce: u64) -> StoredVoter {
         let id = founder_id(&format!("{owner}#{nonce}"));
         StoredVoter { id, replaces: Some(replaces.into()), ..StoredVoter::default() }
     }
 }
 
-/// A founder's number.
+/// Returns the folder id of a voter of a new group.
 pub fn founder_id(name: &str) -> u64 {
     xxhash_rust::xxh64::xxh64(name.as_bytes(), 0).max(1)
 }
 
-/// What is to be kept at once.
+/// A change of a voter's stored state that is written atomically.
 #[derive(Clone, Copy, Default)]
 pub struct StorageUpdate<'a> {
-    /// These replace those from their first index on.
+    /// Log entries; they replace those in the log from the first one's index on.
     pub entries: &'a [Entry],
-    /// Term, vote and what is known to be decided.
+    /// Term, vote and commit index, where they have changed.
     pub hard_state: Option<&'a HardState>,
-    /// Entries up to it are let go.
+    /// A snapshot; entries up to its index are deleted.
     pub snapshot: Option<&'a Snapshot>,
-    /// The snapshot is another voter's: what was in the log before goes, behind it too.
+    /// Deletes the whole log first, also entries after the snapshot's index: the snapshot is another voter's.
     pub reset_log: bool,
 }
 
-/// A place that keeps things.
+/// Storage of a voter's state.
 pub trait VoterStorage {
-    /// Keeps all of it, or nothing; or begins to, in the order of the calls.
-    fn save(&mut self, save: StorageUpdate) -> Result<(), String>;
+    /// Writes all of an update or nothing, or queues it to be written in the order of the calls.
+    fn save(&mut self, update: StorageUpdate) -> Result<(), String>;
 
-    /// Keeps all of these, in their order, or nothing: one sync for all.
-    fn save_all(&mut self, saves: &[StorageUpdate]) -> Result<(), String> {
-        saves.iter().try_for_each(|save| self.save(*save))
+    /// Writes several updates in order. A folder on disk writes all of them or nothing, with a single sync.
+    fn save_all(&mut self, updates: &[StorageUpdate]) -> Result<(), String> {
+        updates.iter().try_for_each(|update| self.save(*update))
     }
 
-    /// How many of so many calls of `save` are kept by now.
-    fn persisted(&mut self, saved: u64) -> Result<u64, String> {
-        Ok(saved)
+    /// Returns how many of the `issued` calls of `save` are durable by now.
+    fn persisted(&mut self, issued: u64) -> Result<u64, String> {
+        Ok(issued)
     }
 }
 
-/// One on disk.
+/// The folder of a voter on disk.
 pub struct VoterFolder(Database);
 
 fn error_text(e: impl std::fmt::Display) -> String {
@@ -98,54 +101,57 @@
 }
 
 impl VoterFolder {
-    /// Makes one for this voter; refused where there is one.
-    pub fn create(path: &Path, owner: &str, kept: &StoredVoter) -> Result<(), String> {
+    /// Creates the folder of a voter. Fails where its file exists already.
+    pub fn create(path: &Path, owner: &str, stored: &StoredVoter) -> Result<(), String> {
         let file = path.join(FILE_NAME);
         if file.exists() {
-            return Err(format!("{} is there already: it is this voter's memory, keep it", file.display()));
+            return Err(format!(
+                "{} exists already and holds this voter's state; do not replace it",
+                file.display()
+            ));
         }
         std::fs::create_dir_all(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let base = Database::create(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-        VoterFolder::initialize(base, owner, kept).map(drop)
+        let database = Database::create(&file).map_err(|e| format!("{}: {e}", file.display()))?;
+        VoterFolder::initialize(database, owner, stored).map(drop)
     }
 
-    /// Writes the first words into an empty one.
-    pub fn initialize(base: Database, owner: &str, kept: &StoredVoter) -> Result<VoterFolder, String> {
-        let write = base.begin_write().map_err(error_text)?;
+    /// Writes the initial state into an empty database.
+    pub fn initialize(database: Database, owner: &str, stored: &StoredVoter) -> Result<VoterFolder, String> {
+        let transaction = database.begin_write().map_err(error_text)?;
         {
-            let mut meta = write.open_table(META_TABLE).map_err(error_text)?;
+            let mut meta = transaction.open_table(META_TABLE).map_err(error_text)?;
             meta.insert("whose", owner.as_bytes()).map_err(error_text)?;
-            meta.insert("id", &kept.id.to_le_bytes()[..]).map_err(error_text)?;
-            if let Some(replaces) = &kept.replaces {
+            meta.insert("id", &stored.id.to_le_bytes()[..]).map_err(error_text)?;
+            if let Some(replaces) = &stored.replaces {
                 meta.insert("instead", replaces.as_bytes()).map_err(error_text)?;
             }
-            meta.insert("hard", &*kept.hard_state.write_to_bytes().map_err(error_text)?)
+            meta.insert("hard", &*stored.hard_state.write_to_bytes().map_err(error_text)?)
                 .map_err(error_text)?;
-            meta.insert("snapshot", &*kept.snapshot.write_to_bytes().map_err(error_text)?)
+            meta.insert("snapshot", &*stored.snapshot.write_to_bytes().map_err(error_text)?)
                 .map_err(error_text)?;
-            write.open_table(LOG_TABLE).map_err(error_text)?;
+            transaction.open_table(LOG_TABLE).map_err(error_text)?;
         }
-        write.commit().map_err(error_text)?;
-        Ok(VoterFolder(base))
+        transaction.commit().map_err(error_text)?;
+        Ok(VoterFolder(database))
     }
 
-    /// Opens that of this voter.
+    /// Opens the folder of a voter.
     pub fn open(path: &Path, owner: &str) -> Result<(VoterFolder, StoredVoter), String> {
         let file = path.join(FILE_NAME);
-        let with_path = |what: String| format!("{}: {what}", file.display());
+        let with_path = |message: String| format!("{}: {message}", file.display());
         if !file.exists() {
-            return Err(with_path("is not there: make it once with `oakdeal group found`".into()));
+            return Err(with_path("does not exist; create it once with `oakdeal group found`".into()));
         }
-        let base = Database::open(&file).map_err(|e| with_path(e.to_string()))?;
-        VoterFolder::load(base, owner).map_err(with_path)
+        let database = Database::open(&file).map_err(|e| with_path(e.to_string()))?;
+        VoterFolder::load(database, owner).map_err(with_path)
     }
 
-    /// Reads what is in one.
-    pub fn load(base: Database, owner: &str) -> Result<(VoterFolder, StoredVoter), String> {
-        let mut kept = StoredVoter::default();
+    /// Reads the stored state from a database.
+    pub fn load(database: Database, owner: &str) -> Result<(VoterFolder, StoredVoter), String> {
+        let mut stored = StoredVoter::default();
         {
-            let read = base.begin_read().map_err(error_text)?;
-            let meta = read.open_table(META_TABLE).map_err(error_text)?;
+            let transaction = database.begin_read().map_err(error_text)?;
+            let meta = transaction.open_table(META_TABLE).map_err(error_text)?;
             let get = |key: &str| -> Result<Option<Vec<u8>>, String> {
                 Ok(meta.get(key).map_err(error_text)?.map(|v| v.value().to_vec()))
             };
@@ -157,35 +163,36 @@
                 ));
             }
             let id = get("id")?.and_then(|bytes| bytes.try_into().ok()).map(u64::from_le_bytes);
-            kept.id = id.ok_or("was made by an older program: move it away and found the group again")?;
-            kept.replaces = get("instead")?.map(|name| String::from_utf8_lossy(&name).into_owned());
+            stored.id =
+                id.ok_or("was created by an older version: move it away and found the group again")?;
+            stored.replaces = get("instead")?.map(|name| String::from_utf8_lossy(&name).into_owned());
             if let Some(bytes) = get("hard")? {
-                kept.hard_state = HardState::parse_from_bytes(&bytes).map_err(error_text)?;
+                stored.hard_state = HardState::parse_from_bytes(&bytes).map_err(error_text)?;
             }
             if let Some(bytes) = get("snapshot")? {
-                kept.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(error_text)?;
+                stored.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(error_text)?;
             }
-            let log = read.open_table(LOG_TABLE).map_err(error_text)?;
+            let log = transaction.open_table(LOG_TABLE).map_err(error_text)?;
             for entry in log.iter().map_err(error_text)? {
                 let (_, bytes) = entry.map_err(error_text)?;
-                kept.entries.push(Entry::parse_from_bytes(bytes.value()).map_err(error_text)?);
+                stored.entries.push(Entry::parse_from_bytes(bytes.value()).map_err(error_text)?);
             }
         }
-        Ok((VoterFolder(base), kept))
+        Ok((VoterFolder(database), stored))
     }
 }
 
 impl VoterFolder {
-    fn write_update(write: &WriteTransaction, save: &StorageUpdate) -> Result<(), String> {
-        let StorageUpdate { entries, hard_state, snapshot, reset_log } = save;
-        let mut meta = write.open_table(META_TABLE).map_err(error_text)?;
+    fn write_update(transaction: &WriteTransaction, update: &StorageUpdate) -> Result<(), String> {
+        let StorageUpdate { entries, hard_state, snapshot, reset_log } = update;
+        let mut meta = transaction.open_table(META_TABLE).map_err(error_text)?;
         if let Some(hard_state) = hard_state {
             meta.insert("hard", &*hard_state.write_to_bytes().map_err(error_text)?).map_err(error_text)?;
         }
         if let Some(snapshot) = snapshot {
             meta.insert("snapshot", &*snapshot.write_to_bytes().map_err(error_text)?).map_err(error_text)?;
         }
-        let mut log = write.open_table(LOG_TABLE).map_err(error_text)?;
+        let mut log = transaction.open_table(LOG_TABLE).map_err(error_text)?;
         if *reset_log {
             log.retain(|_, _| false).map_err(error_text)?;
         }
@@ -203,21 +210,21 @@
 }
 
 impl VoterStorage for VoterFolder {
-    fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
-        self.save_all(&[save])
+    fn save(&mut self, update: StorageUpdate) -> Result<(), String> {
+        self.save_all(&[update])
     }
 
-    fn save_all(&mut self, saves: &[StorageUpdate]) -> Result<(), String> {
-        let begun = Instant::now();
+    fn save_all(&mut self, updates: &[StorageUpdate]) -> Result<(), String> {
+        let started = Instant::now();
         if let Some(delay) = std::env::var(WRITE_DELAY_VARIABLE).ok().and_then(|ms| ms.parse().ok()) {
             std::thread::sleep(Duration::from_millis(delay));
         }
-        let write = self.0.begin_write().map_err(error_text)?;
-        saves.iter().try_for_each(|save| VoterFolder::write_update(&write, save))?;
-        write.commit().map_err(error_text)?;
-        let took = begun.elapsed();
+        let transaction = self.0.begin_write().map_err(error_text)?;
+        updates.iter().try_for_each(|update| VoterFolder::write_update(&transaction, update))?;
+        transaction.commit().map_err(error_text)?;
+        let took = started.elapsed();
         if took > SLOW_WRITE_THRESHOLD {
-            let (took_ms, saves) = (took.as_millis() as u64, saves.len());
+            let (took_ms, saves) = (took.as_millis() as u64, updates.len());
             tracing::warn!(took_ms, saves, "group: a write of the log was slow");
         }
         Ok(())
--- a/src/group/lease_model.rs
+++ b/src/group/lease_model.rs
@@ -1,15 +1,17 @@
-//! The leases' proof: every order of events up to a depth, over the code that runs, with clocks that drift apart as far as
-//! they may. The log of the voters is one list here: that a majority agrees on one is the consensus crate's promise.
+//! Exhaustive search over the lease protocol: every order of events up to a depth, run on the production code, with clocks that
+//! drift apart as far as the terms allow. The voters' log is modelled as a single list, because agreement on one log is the
+//! guarantee of the consensus crate.
 
 use super::*;
 use std::collections::{HashSet, VecDeque};
 
-/// An eighth of drift; a span is three ticks of a true clock.
+/// Drift of one eighth; the duration of a lease is three ticks of a true clock, which advances by 8 units a tick.
 const TERMS: LeaseTerms = LeaseTerms { duration: 24, drift_ppm: 125_000 };
 
+/// An error planted in the model, to show that the search finds it.
 #[derive(Clone, Copy, PartialEq)]
-enum Planted {
-    Nothing,
+enum PlantedError {
+    None,
     NoDrift,
     NoWaitAfterChange,
     TokensUnchecked,
@@ -18,7 +20,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask(usize, u64, String),
+    Request(usize, u64, String),
     Answer(usize, u64, String),
 }
 
@@ -26,101 +28,108 @@
 struct World {
     ticks: u64,
     state: State,
-    watch: LeaseMonitor,
+    lease_monitor: LeaseMonitor,
     holders: [LeaseClient; 2],
-    /// One that has looked at its lease and is stopped before its act: its token.
-    about: [Option<u64>; 2],
-    gate: TokenFence,
-    carried: u64,
-    out: Vec<Message>,
-    changes: u8,
+    /// Per holder: the token with which it has checked its lease, while it is paused before its act.
+    about_to_act: [Option<u64>; 2],
+    fence: TokenFence,
+    /// Highest token under which an act was carried out.
+    carried_out: u64,
+    in_flight: Vec<Message>,
+    leader_changes: u8,
 }
 
-/// Clocks at their limits: the first holder's is slow, the second's and the leader's are fast.
-fn holder_clock(ticks: u64, i: usize) -> u64 {
-    ticks * if i == 0 { 7 } else { 9 }
+/// Clocks at the limits of the drift: the first holder's is slow, the second's and the leader's are fast.
+fn holder_clock(ticks: u64, holder: usize) -> u64 {
+    ticks * if holder == 0 { 7 } else { 9 }
 }
 
 fn leader_clock(ticks: u64) -> u64 {
     ticks * 9
 }
 
-/// All that can happen next. `Err` where two act at once or a carried token falls.
-fn steps(w: &World, planted: Planted) -> Result<Vec<World>, String> {
+/// Returns every state that can follow, or an error where both holders may act at once or the token of an act decreases.
+fn successors(world_before: &World, planted: PlantedError) -> Result<Vec<World>, String> {
     let mut next = Vec::new();
     let mut push = |mut world: World| {
-        world.out.sort();
-        world.out.truncate(4);
+        world.in_flight.sort();
+        world.in_flight.truncate(4);
         next.push(world);
     };
-    let terms = if planted == Planted::NoDrift { LeaseTerms { drift_ppm: 0, ..TERMS } } else { TERMS };
-    // Time passes; the leader looks.
-    let mut world = w.clone();
+    let terms = if planted == PlantedError::NoDrift { LeaseTerms { drift_ppm: 0, ..TERMS } } else { TERMS };
+    // Time passes, and the leader frees expired leases.
+    let mut world = world_before.clone();
     world.ticks += 1;
-    for free in world.watch.expired(leader_clock(world.ticks), &terms, &world.state.clone()) {
+    for free in world.lease_monitor.expired(leader_clock(world.ticks), &terms, &world.state.clone()) {
         world.state.apply(&free);
     }
     push(world);
-    // Another leads. Every list that it has is whole.
-    if w.changes < 1 {
-        let mut world = w.clone();
-        world.changes += 1;
-        let now = if planted == Planted::NoWaitAfterChange { 0 } else { leader_clock(w.ticks) };
-        world.watch = LeaseMonitor::new(now, &w.state);
+    // Another voter becomes the leader; it has the whole log.
+    if world_before.leader_changes < 1 {
+        let mut world = world_before.clone();
+        world.leader_changes += 1;
+        let now =
+            if planted == PlantedError::NoWaitAfterChange { 0 } else { leader_clock(world_before.ticks) };
+        world.lease_monitor = LeaseMonitor::new(now, &world_before.state);
         push(world);
     }
     for i in 0..2 {
-        let now = holder_clock(w.ticks, i);
-        // It asks if it is due; not to ask is to be stopped.
-        let mut world = w.clone();
+        let now = holder_clock(world_before.ticks, i);
+        // The holder sends the request that is due. A paused one is covered by the orders in which it does not.
+        let mut world = world_before.clone();
         if let Some((id, command)) = world.holders[i].next_request(now) {
             let text = String::from_utf8(command.encode()).unwrap();
-            world.out.push(Message::Ask(i, id, text));
+            world.in_flight.push(Message::Request(i, id, text));
             push(world);
         }
-        // It looks and is about to act; and it acts, at once or much later.
-        if let (None, Some(token)) = (w.about[i], w.holders[i].active_token(now)) {
-            let mut world = w.clone();
-            world.about[i] = Some(token);
+        // The holder checks its lease; it acts on the result at once or much later.
+        if let (None, Some(token)) = (world_before.about_to_act[i], world_before.holders[i].active_token(now))
+        {
+            let mut world = world_before.clone();
+            world.about_to_act[i] = Some(token);
             push(world);
         }
-        if let Some(token) = w.about[i] {
-            let mut world = w.clone();
-            world.about[i] = None;
-            if planted == Planted::TokensUnchecked || world.gate.admits("t", token) {
-                if token < world.carried {
-                    return Err(format!("token {token} carried out after {}", world.carried));
+        if let Some(token) = world_before.about_to_act[i] {
+            let mut world = world_before.clone();
+            world.about_to_act[i] = None;
+            if planted == PlantedError::TokensUnchecked || world.fence.admits("t", token) {
+                if token < world.carried_out {
+                    return Err(format!("token {token} carried out after {}", world.carried_out));
                 }
-                world.carried = token;
+                world.carried_out = token;
             }
             push(world);
         }
     }
-    // Messages arrive, are doubled, or are lost.
-    for (n, message) in w.out.iter().enumerate() {
+    // A message arrives, is duplicated, or is lost.
+    for (n, message) in world_before.in_flight.iter().enumerate() {
         for keep in [false, true] {
-            let mut world = w.clone();
+            let mut world = world_before.clone();
             if !keep {
-                world.out.remove(n);
+                world.in_flight.remove(n);
             }
             match message {
-                Message::Ask(i, id, text) => {
+                Message::Request(i, id, text) => {
                     let outcome = world.state.apply(&Command::decode(text.as_bytes()).unwrap());
-                    world.watch.expired(leader_clock(w.ticks), &terms, &world.state.clone());
-                    world.out.push(Message::Answer(*i, *id, serde_json::to_string(&outcome).unwrap()));
+                    world.lease_monitor.expired(
+                        leader_clock(world_before.ticks),
+                        &terms,
+                        &world.state.clone(),
+                    );
+                    world.in_flight.push(Message::Answer(*i, *id, serde_json::to_string(&outcome).unwrap()));
                 }
                 Message::Answer(i, id, text) => {
-                    let now = holder_clock(w.ticks, *i);
-                    if planted == Planted::CountedFromAnswer {
-                        world.holders[*i].asked.entry(*id).and_modify(|at| *at = now);
+                    let now = holder_clock(world_before.ticks, *i);
+                    if planted == PlantedError::CountedFromAnswer {
+                        world.holders[*i].outstanding.entry(*id).and_modify(|at| *at = now);
                     }
                     world.holders[*i].handle_outcome(now, *id, &serde_json::from_str(text).unwrap());
                 }
             }
             push(world);
         }
-        let mut world = w.clone();
-        world.out.remove(n);
+        let mut world = world_before.clone();
+        world.in_flight.remove(n);
         push(world);
     }
     for world in &next {
@@ -137,51 +146,54 @@
     World {
         ticks: 0,
         state: State::default(),
-        watch: LeaseMonitor::default(),
+        lease_monitor: LeaseMonitor::default(),
         holders: [holder("a"), holder("b")],
-        about: [None, None],
-        gate: TokenFence::default(),
-        carried: 0,
-        out: Vec::new(),
-        changes: 0,
+        about_to_act: [None, None],
+        fence: TokenFence::default(),
+        carried_out: 0,
+        in_flight: Vec::new(),
+        leader_changes: 0,
     }
 }
 
-/// The first holder has been granted the task: deeper worlds are within reach from here.
-fn held() -> World {
+/// Start state in which the first holder has the lease, so that the search reaches deeper states.
+fn lease_granted() -> World {
     let mut world = start();
-    let (id, ask) = world.holders[0].next_request(0).unwrap();
-    let outcome = world.state.apply(&ask);
-    world.watch.expired(0, &TERMS, &world.state.clone());
+    let (id, request) = world.holders[0].next_request(0).unwrap();
+    let outcome = world.state.apply(&request);
+    world.lease_monitor.expired(0, &TERMS, &world.state.clone());
     world.holders[0].handle_outcome(0, id, &outcome);
     world
 }
 
-/// The first holder has asked, it is decided, and the answer is on its way.
-fn decided() -> World {
+/// Start state in which the first holder's request is committed and the answer is in flight.
+fn answer_in_flight() -> World {
     let mut world = start();
-    let (id, ask) = world.holders[0].next_request(0).unwrap();
-    let outcome = world.state.apply(&ask);
-    world.watch.expired(0, &TERMS, &world.state.clone());
-    world.out.push(Message::Answer(0, id, serde_json::to_string(&outcome).unwrap()));
+    let (id, request) = world.holders[0].next_request(0).unwrap();
+    let outcome = world.state.apply(&request);
+    world.lease_monitor.expired(0, &TERMS, &world.state.clone());
+    world.in_flight.push(Message::Answer(0, id, serde_json::to_string(&outcome).unwrap()));
     world
 }
 
-/// Looks at all worlds within so many steps; how many there are, and the first that is wrong.
-fn search(from: World, planted: Planted, depth: usize, most: usize) -> (usize, Option<String>) {
-    let (mut seen, mut now) = (HashSet::new(), VecDeque::from([from]));
+/// Visits all states within `depth` steps, or stops once there are more than `max_states`; returns their number and the first
+/// error.
+fn search(from: World, planted: PlantedError, depth: usize, max_states: usize) -> (usize, Option<String>) {
+    let (mut seen, mut frontier) = (HashSet::new(), VecDeque::from([from]));
     for _ in 0..depth {
-        let mut then = VecDeque::new();
-        for world in now {
-            match steps(&world, planted) {
-                Err(wrong) => return (seen.len(), Some(wrong)),
-                Ok(next) => then.extend(next.into_iter().filter(|world| seen.insert(fingerprint(world)))),
+        let mut next_frontier = VecDeque::new();
+        for world in frontier {
+            match successors(&world, planted) {
+                Err(error) => return (seen.len(), Some(error)),
+                Ok(next) => {
+                    next_frontier.extend(next.into_iter().filter(|world| seen.insert(fingerprint(world))))
+                }
             }
-            if seen.len() > most {
+            if seen.len() > max_states {
                 return (seen.len(), None);
             }
         }
-        now = then;
+        frontier = next_frontier;
     }
     (seen.len(), None)
 }
@@ -193,48 +205,48 @@
     hasher.finish()
 }
 
-/// Guards against two holders that act at once, and a token that falls where acts are carried out.
+/// Guards against two holders that may act at once, and against acts that are carried out under decreasing tokens.
 #[test]
-fn no_two_act_at_once_in_any_order_of_events() {
-    for (from, depth) in [(start(), 9), (held(), 10), (decided(), 9)] {
-        let (states, wrong) = search(from, Planted::Nothing, depth, usize::MAX);
-        assert_eq!(wrong, None);
+fn two_holders_never_act_at_once_in_any_order_of_events() {
+    for (from, depth) in [(start(), 9), (lease_granted(), 10), (answer_in_flight(), 9)] {
+        let (states, error) = search(from, PlantedError::None, depth, usize::MAX);
+        assert_eq!(error, None);
         println!("{states} states within {depth} steps");
         assert!(states > 10_000, "{states} states");
     }
 }
 
-/// Guards against a search that cannot find anything.
+/// Guards against a search that finds no errors: each error planted in the protocol must be found.
 #[test]
 fn each_planted_error_is_found() {
     for (from, planted, name) in [
-        (held(), Planted::NoDrift, "no bound for drift"),
-        (held(), Planted::NoWaitAfterChange, "no wait after a change of leader"),
-        (held(), Planted::TokensUnchecked, "tokens not checked"),
-        (decided(), Planted::CountedFromAnswer, "renewal counted from the answer"),
+        (lease_granted(), PlantedError::NoDrift, "no bound for drift"),
+        (lease_granted(), PlantedError::NoWaitAfterChange, "no wait after a change of leader"),
+        (lease_granted(), PlantedError::TokensUnchecked, "tokens not checked"),
+        (answer_in_flight(), PlantedError::CountedFromAnswer, "renewal counted from the answer"),
     ] {
-        let (states, wrong) = search(from, planted, 14, 2_000_000);
-        println!("{name}: {states} states, {wrong:?}");
-        assert!(wrong.is_some(), "{name} was not found in {states} states");
+        let (states, error) = search(from, planted, 14, 2_000_000);
+        println!("{name}: {states} states, {error:?}");
+        assert!(error.is_some(), "{name} was not found in {states} states");
     }
 }
 
-/// Guards against a task that nobody ever gets again.
+/// Guards against a task that is never granted again after its holder is gone.
 #[test]
 fn a_task_whose_holder_is_gone_is_granted_again() {
-    let (mut state, mut watch) = (State::default(), LeaseMonitor::default());
+    let (mut state, mut lease_monitor) = (State::default(), LeaseMonitor::default());
     let (mut gone, mut other) = (LeaseClient::new(0, TERMS, "t", "a"), LeaseClient::new(0, TERMS, "t", "b"));
-    let (id, ask) = gone.next_request(0).unwrap();
-    let outcome = state.apply(&ask);
+    let (id, request) = gone.next_request(0).unwrap();
+    let outcome = state.apply(&request);
     gone.handle_outcome(0, id, &outcome);
     assert_eq!(gone.active_token(0), Some(1));
     let mut now = 0;
     while other.active_token(now).is_none() {
         now += 1;
         assert!(now <= 2 * TERMS.expiry_wait(), "{state:?}");
-        watch.expired(now, &TERMS, &state.clone()).iter().for_each(|free| drop(state.apply(free)));
-        if let Some((id, ask)) = other.next_request(now) {
-            let outcome = state.apply(&ask);
+        lease_monitor.expired(now, &TERMS, &state.clone()).iter().for_each(|free| drop(state.apply(free)));
+        if let Some((id, request)) = other.next_request(now) {
+            let outcome = state.apply(&request);
             other.handle_outcome(now, id, &outcome);
         }
     }
--- a/src/group/record.rs
+++ b/src/group/record.rs
@@ -1,101 +1,102 @@
-//! What the fleet has decided: a small state, changed only by commands that a majority of the voters has kept.
+//! The group's replicated record: a small state that changes only by commands that a majority of the voters has stored.
 //!
-//! Promised: the same commands in the same order give the same state, whatever the clock says; a token never falls and is
-//! never given twice. Both are written as JSON with names: a neighbouring version passes over what it does not know and
-//! takes the usual for what it misses. A command's kind may be proposed only by a release whose neighbour knows it; a voter
-//! that cannot read what was decided votes no more.
+//! Guarantees: the same commands in the same order give the same state, independent of any clock; the token of a grant never
+//! decreases and is never given twice. State and commands are stored as JSON with field names, so that a neighbouring version
+//! ignores fields that it does not know and takes the default for those that are missing. A release may propose a new kind of
+//! command only if the release before it already knows that kind; a voter that cannot decode a committed command stops voting.
 
 use crate::failover::plan::{Order, Plan, Wish};
 use crate::failover::ZONES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A task's name, and a holder's, are no longer than this.
+/// Maximum length of the name of a task, a lease holder or a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// So many tasks are known at most.
+/// Maximum number of tasks in the record.
 pub const MAX_TASKS: usize = 8;
 
 /// A lease on a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Lease {
-    /// Who holds it.
+    /// Name of the lease holder; none while the task is free.
     pub holder: Option<String>,
-    /// The token of the latest grant.
+    /// Token of the latest grant.
     pub token: u64,
-    /// How often it was renewed, the grant included: whoever frees it says which renewal it saw last.
+    /// Number of renewals, the grant included. `Command::Free` names the last renewal that the leader saw, so that a lease renewed
+    /// meanwhile is not freed.
     pub renewals: u64,
 }
 
-/// The record.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
-    /// How often it has changed for those who watch it: a renewal is for the leader alone.
+    /// Number of changes. A renewal does not count: only the leader needs it, the members that follow the record do not.
     pub version: u64,
-    /// The highest token given.
+    /// The highest token granted so far.
     #[serde(rename = "tokens")]
     pub last_token: u64,
-    /// By task.
+    /// Leases by task.
     pub leases: BTreeMap<String, Lease>,
-    /// The voters: one number for each folder that was ever let in, and whose it is.
+    /// Names of the voters by folder id. During a membership change these are the voters of both configurations.
     #[serde(rename = "seats")]
     pub voters: BTreeMap<u64, String>,
-    /// Pages of the fleet's account that were begun.
+    /// Number of the last page of the fleet's account that was begun.
     #[serde(rename = "pages")]
     pub last_page: u64,
-    /// The plan for zones.
+    /// The latest plan for zones.
     pub plan: Option<Plan>,
-    /// What operators want of zones, and how many orders there were.
+    /// Operators' orders in force, by zone.
     pub orders: BTreeMap<String, Order>,
-    /// See `orders`.
+    /// Number of the last order.
     #[serde(rename = "ordered")]
     pub last_order: u64,
 }
 
-/// A change that is asked for.
+/// A requested change of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Somebody wants a task; from its holder it is a renewal.
+    /// Requests the lease on a task; from its holder it is a renewal.
     Acquire {
         /// The task.
         task: String,
-        /// Who asks.
+        /// Name of the client.
         holder: String,
     },
-    /// Its holder goes on.
+    /// The lease holder renews its lease.
     Renew {
         /// The task.
         task: String,
         /// The token of its grant.
         token: u64,
     },
-    /// Its holder gives it back.
+    /// The lease holder releases its lease.
     Return {
         /// The task.
         task: String,
         /// The token of its grant.
         token: u64,
     },
-    /// The leader has waited for the holder's span.
+    /// The leader has waited until the lease expired and frees the task.
     Free {
         /// The task.
         task: String,
-        /// The token of the grant that is over.
+        /// The token of the grant that expired.
         token: u64,
-        /// The last renewal that the leader had seen.
+        /// The last renewal that the leader saw.
         renewals: u64,
     },
-    /// The holder of a task begins a page of the account: each number has one writer.
+    /// The lease holder begins a page of the account. Each page number is granted once, so a page has one writer.
     Page {
         /// The task.
         task: String,
         /// The token of its grant.
         token: u64,
-        /// The page: the next one.
+        /// The page's number, one more than that of the last page.
         page: u64,
     },
-    /// The holder of a task puts the next plan, or renews the last.
+    /// The lease holder publishes the next plan, or renews the latest.
     Plan {
         /// The task.
         task: String,
@@ -104,16 +105,16 @@
         /// The plan.
         plan: Plan,
     },
-    /// An operator wants something of a zone for so many milliseconds, or nothing any more.
+    /// An operator gives an order for a zone, or withdraws it.
     Order {
         /// The zone.
         zone: String,
-        /// What.
+        /// The order; none withdraws the one in force.
         wish: Option<Wish>,
-        /// For how long.
+        /// How long the order is valid, in milliseconds.
         lasts_ms: u64,
     },
-    /// The holder has seen an order end.
+    /// The lease holder has found that an order has ended.
     Ended {
         /// The zone.
         zone: String,
@@ -122,31 +123,32 @@
     },
 }
 
-/// What a command came to.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The asker holds the task under this token.
+    /// The client holds the lease under this token.
     Granted(u64),
-    /// Somebody else does.
+    /// Another client, named here, holds the lease.
     Held(String),
-    /// It was given back or freed.
+    /// The change was made.
     Done,
-    /// The token is not that of the holder, or the name is no name.
+    /// The command was rejected: its token is not that of the current grant, its number is not the next one, a name is empty or too
+    /// long, or a bound is reached.
     Stale,
 }
 
 impl State {
-    /// Changes the state by one command.
+    /// Applies one command to the state.
     pub fn apply(&mut self, command: &Command) -> Outcome {
-        let tokens = self.last_token;
+        let token_before = self.last_token;
         let outcome = self.transition(command);
-        if outcome == Outcome::Done || self.last_token > tokens {
+        if outcome == Outcome::Done || self.last_token > token_before {
             self.version += 1;
         }
         outcome
     }
 
-    /// The voters are these from now on; a new one is called so.
+    /// Sets the voters to the folders with these ids; `new` is the id and name of an added one.
     pub fn set_voters(&mut self, ids: &[u64], new: Option<(u64, String)>) {
         self.voters.extend(new);
         self.voters.retain(|id, _| ids.contains(id));
@@ -157,8 +159,8 @@
         match command {
             Command::Acquire { task, holder } => {
                 let full = self.leases.len() >= MAX_TASKS && !self.leases.contains_key(task);
-                let named = |text: &str| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
-                if full || !named(task) || !named(holder) {
+                let valid = |text: &str| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
+                if full || !valid(task) || !valid(holder) {
                     return Outcome::Stale;
                 }
                 let lease = self.leases.entry(task.clone()).or_default();
@@ -204,9 +206,12 @@
             }
             Command::Plan { task, token, plan } => {
                 let (serial, renewed) = self.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewed));
-                let next = (plan.serial, plan.renewed) == (serial + 1, 0);
-                let again = self.plan.is_some() && (plan.serial, plan.renewed) == (serial, renewed + 1);
-                if !next && !again || plan.zones.len() > ZONES || self.current_lease(task, *token).is_none() {
+                let is_next = (plan.serial, plan.renewed) == (serial + 1, 0);
+                let is_renewal = self.plan.is_some() && (plan.serial, plan.renewed) == (serial, renewed + 1);
+                if !is_next && !is_renewal
+                    || plan.zones.len() > ZONES
+                    || self.current_lease(task, *token).is_none()
+                {
                     return Outcome::Stale;
                 }
                 self.plan = Some(plan.clone());
@@ -238,28 +243,29 @@
         }
     }
 
+    /// Returns the lease on a task if it is held under this token.
     fn current_lease(&mut self, task: &str, token: u64) -> Option<&mut Lease> {
         self.leases.get_mut(task).filter(|lease| lease.holder.is_some() && lease.token == token)
     }
 
-    /// As bytes.
+    /// Returns the state encoded as JSON.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// From bytes.
+    /// Decodes a state; `None` where the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Option<State> {
         serde_json::from_slice(bytes).ok()
     }
 }
 
 impl Command {
-    /// As bytes.
+    /// Returns the command encoded as JSON.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// From bytes.
+    /// Decodes a command; `None` where the bytes are not one or its kind is unknown.
     pub fn decode(bytes: &[u8]) -> Option<Command> {
         serde_json::from_slice(bytes).ok()
     }
@@ -270,7 +276,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn command() -> impl Strategy<Value = Command> {
+    fn any_command() -> impl Strategy<Value = Command> {
         let task = prop::sample::select(vec!["a", "b"]).prop_map(String::from);
         let holder = prop::sample::select(vec!["x", "y"]).prop_map(String::from);
         let token = 0u64..6;
@@ -304,43 +310,45 @@
     }
 
     proptest! {
-        /// Guards against a token that falls or is given to two, and against a state that its own bytes do not give back.
+        /// Guards against a token that decreases or is granted to two clients, a change that leaves the version as it was, and a state
+        /// or command that differs after encoding and decoding.
         #[test]
-        fn tokens_only_grow_and_each_has_one_holder(commands in prop::collection::vec(command(), 0..60)) {
-            let (mut state, mut given) = (State::default(), BTreeMap::<u64, (String, String)>::new());
+        fn tokens_never_decrease_and_each_has_one_holder(commands in prop::collection::vec(any_command(), 0..60)) {
+            let (mut state, mut granted) = (State::default(), BTreeMap::<u64, (String, String)>::new());
             for command in commands {
                 let before = state.clone();
                 let outcome = state.apply(&command);
                 prop_assert!(state.last_token >= before.last_token);
-                // Whatever changes but a renewal is a new version.
-                let told = |state: &State| {
+                // Every change but a renewal is a new version.
+                let without_renewals = |state: &State| {
                     let mut state = state.clone();
                     state.leases.values_mut().for_each(|lease| lease.renewals = 0);
                     state
                 };
-                prop_assert_eq!(state.version > before.version, told(&state) != told(&before));
+                prop_assert_eq!(state.version > before.version, without_renewals(&state) != without_renewals(&before));
                 prop_assert!(state.last_page == before.last_page || state.last_page == before.last_page + 1);
-                let age = |state: &State| state.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewed));
-                prop_assert!(age(&state) >= age(&before), "a plan that falls");
+                let plan_number = |state: &State| state.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewed));
+                prop_assert!(plan_number(&state) >= plan_number(&before), "the plan went back to an older one");
                 if let (Command::Acquire { task, holder }, Outcome::Granted(token)) = (&command, &outcome) {
-                    let to = (task.clone(), holder.clone());
-                    prop_assert_eq!(given.entry(*token).or_insert(to.clone()), &to);
+                    let client = (task.clone(), holder.clone());
+                    prop_assert_eq!(granted.entry(*token).or_insert(client.clone()), &client);
                 }
                 prop_assert_eq!(State::decode(&state.encode()), Some(state.clone()));
                 prop_assert_eq!(Command::decode(&command.encode()), Some(command));
             }
         }
 
-        /// Guards against a panic on bytes that somebody made up.
+        /// Guards against a panic on arbitrary bytes.
         #[test]
-        fn junk_is_no_state_and_no_command(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
             let _ = (State::decode(&bytes), Command::decode(&bytes));
         }
     }
 
-    /// Guards against a neighbouring version that cannot read what this one has written.
+    /// Guards against neighbouring versions that cannot decode each other's state: unknown fields are ignored and missing ones take
+    /// their default.
     #[test]
-    fn what_a_neighbour_adds_is_passed_over_and_what_it_lacks_is_the_usual() {
+    fn unknown_fields_are_ignored_and_missing_ones_take_their_default() {
         let newer = br#"{"version":3,"tokens":2,"plans":[1],"leases":{"a":{"holder":"x","token":2,"renewals":1,"by":7}}}"#;
         let state = State::decode(newer).unwrap();
         assert_eq!((state.version, state.leases["a"].token), (3, 2));
