--- a/src/group/folder.rs
+++ b/src/group/folder.rs
@@ -1,9 +1,9 @@
 //! Durable storage of a voter: its log, its hard state (term, vote, commit index) and a snapshot.
 //!
-//! Guarantees: a write is durable when [`VoterStorage::save`] of a [`VoterFolder`] returns, and survives a kill of the process;
-//! a write that was interrupted is there in full or not at all (redb); the folder of another voter is refused. A voter without a
-//! folder does not vote: `group found` creates the folder once, so that a voter whose folder was lost cannot vote a second time
-//! in a term in which it has voted already.
+//! Guarantees: a write is durable when [`VoterStorage::save`] of a [`VoterFolder`] returns, and survives a kill of the
+//! process; a write that was interrupted is there in full or not at all (redb); the folder of another voter is refused. A
+//! voter without a folder does not vote: `group found` creates the folder once, so that a voter whose folder was lost cannot
+//! vote a second time in a term in which it has voted already.
 
 use super::record::State;
 use protobuf::Message as _;
@@ -16,8 +16,8 @@
 const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 /// Name of the database file in the folder.
 const FILE_NAME: &str = "voter.redb";
-/// Environment variable with a delay for each write, in milliseconds; tests simulate slow disks with it. This is the only place
-/// that reads it.
+/// Environment variable with a delay for each write, in milliseconds; tests simulate slow disks with it. This is the only
+/// place that reads it.
 const WRITE_DELAY_VARIABLE: &str = "OAKDEAL_RIG_WRITE_DELAY_MS";
 /// Duration of a write above which it is logged as slow.
 const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(100);
@@ -33,7 +33,7 @@
     pub entries: Vec<Entry>,
     /// Term, vote and commit index.
     pub hard_state: HardState,
-    /// The latest snapshot; empty in a folder created for an existing group.
+    /// The latest snapshot; empty at first in a folder created for an existing group.
     pub snapshot: Snapshot,
 }
 
@@ -51,8 +51,8 @@
         StoredVoter { id: founder_id(owner), replaces: None, entries: Vec::new(), hard_state, snapshot }
     }
 
-    /// Returns the initial state of a voter that replaces another one, or itself after its folder was lost. `nonce` must differ for
-    /// each folder of a voter.
+    /// Returns the initial state of a voter that replaces another one, or itself after its folder was lost. `nonce` must
+    /// differ for each folder of a voter.
     pub fn for_replacement(owner: &str, replaces: &str, nonce: u64) -> StoredVoter {
         let id = founder_id(&format!("{owner}#{nonce}"));
         StoredVoter { id, replaces: Some(replaces.into()), ..StoredVoter::default() }
--- a/src/group/lease.rs
+++ b/src/group/lease.rs
@@ -1,17 +1,20 @@
 //! Leases on tasks of the fleet: when a lease holder may act, and when the leader may grant the task to another.
 //!
 //! To *act* is to begin an operation under a lease. Assumption: clocks run within `drift_ppm` of true time, also while the
-//! machine sleeps. Guarantee, by the clocks alone: no two lease holders may begin to act at the same moment. A holder counts its
-//! lease from before it sent the request; the leader frees a lease only after its duration extended by the drift of both clocks,
-//! and a new leader counts from the moment it began to lead.
+//! machine sleeps. Guarantee, by the clocks alone: no two lease holders may begin to act at the same moment. A holder counts
+//! its lease from before it sent the request; the leader frees a lease only after its duration extended by the drift of both
+//! clocks, and a new leader counts from the moment it began to lead.
 //!
-//! Not guaranteed by the clocks: a holder that is paused between checking the clock and acting acts late. The receiver of an act
-//! therefore checks its token with a [`TokenFence`], which rejects a token lower than the highest it has seen.
+//! Not guaranteed by the clocks: a holder that is paused between checking the clock and acting acts late. The receiver of an
+//! act therefore checks its token with a [`TokenFence`], which rejects a token lower than the highest it has seen.
 
 use super::record::{Command, Outcome, State};
 use crate::api::Micros;
 use std::collections::BTreeMap;
 
+/// The number one in parts per million.
+const ONE_IN_PPM: u64 = 1_000_000;
+
 /// Terms that all leases of the group share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
@@ -22,9 +25,10 @@
 }
 
 impl LeaseTerms {
-    /// Returns how long the leader waits before it frees a lease, by its own clock, which may be fast while the holder's is slow.
+    /// Returns how long the leader waits before it frees a lease, by its own clock, which may be fast while the holder's is
+    /// slow.
     pub fn expiry_wait(&self) -> Micros {
-        (self.duration * (1_000_000 + self.drift_ppm)).div_ceil(1_000_000 - self.drift_ppm)
+        (self.duration * (ONE_IN_PPM + self.drift_ppm)).div_ceil(ONE_IN_PPM - self.drift_ppm)
     }
 }
 
@@ -42,6 +46,8 @@
     grant: Option<(u64, Micros)>,
 }
 
+/// Number of requests that a client may send within the duration of a lease, so that lost ones are sent again in time.
+const REQUESTS_PER_DURATION: Micros = 6;
 /// Maximum number of outstanding requests; the answer to an older one is ignored.
 const MAX_OUTSTANDING_REQUESTS: usize = 4;
 
@@ -77,7 +83,7 @@
         if now < self.next_request_at {
             return None;
         }
-        self.next_request_at = now + self.terms.duration / 6;
+        self.next_request_at = now + self.terms.duration / REQUESTS_PER_DURATION;
         let task = self.task.clone();
         let command = match self.grant {
             // Nothing is due in the first third of the lease.
@@ -133,8 +139,8 @@
 }
 
 impl LeaseMonitor {
-    /// Creates the monitor of a leader that begins to lead now. All leases count as renewed at this moment, because an earlier
-    /// leader may have renewed them until then.
+    /// Creates the monitor of a leader that begins to lead now. All leases count as renewed at this moment, because an
+    /// earlier leader may have renewed them until then.
     pub fn new(now: Micros, state: &State) -> LeaseMonitor {
         let held = state.leases.iter().filter(|(_, lease)| lease.holder.is_some());
         LeaseMonitor { seen: held.map(|(task, l)| (task.clone(), (l.token, l.renewals, now))).collect() }
--- a/src/group/lease_model.rs
+++ b/src/group/lease_model.rs
@@ -1,6 +1,6 @@
-//! Exhaustive search over the lease protocol: every order of events up to a depth, run on the production code, with clocks that
-//! drift apart as far as the terms allow. The voters' log is modelled as a single list, because agreement on one log is the
-//! guarantee of the consensus crate.
+//! Exhaustive search over the lease protocol: every order of events up to a depth, run on the production code, with clocks
+//! that drift apart as far as the terms allow. The voters' log is modelled as a single list, because agreement on one log is
+//! the guarantee of the consensus crate.
 
 use super::*;
 use std::collections::{HashSet, VecDeque};
@@ -8,10 +8,13 @@
 /// Drift of one eighth; the duration of a lease is three ticks of a true clock, which advances by 8 units a tick.
 const TERMS: LeaseTerms = LeaseTerms { duration: 24, drift_ppm: 125_000 };
 
+/// Maximum number of messages in flight in a state, which bounds the search; the others are lost.
+const MAX_IN_FLIGHT: usize = 4;
+
 /// An error planted in the model, to show that the search finds it.
 #[derive(Clone, Copy, PartialEq)]
 enum PlantedError {
-    None,
+    Nothing,
     NoDrift,
     NoWaitAfterChange,
     TokensUnchecked,
@@ -53,7 +56,7 @@
     let mut next = Vec::new();
     let mut push = |mut world: World| {
         world.in_flight.sort();
-        world.in_flight.truncate(4);
+        world.in_flight.truncate(MAX_IN_FLIGHT);
         next.push(world);
     };
     let terms = if planted == PlantedError::NoDrift { LeaseTerms { drift_ppm: 0, ..TERMS } } else { TERMS };
@@ -209,7 +212,7 @@
 #[test]
 fn two_holders_never_act_at_once_in_any_order_of_events() {
     for (from, depth) in [(start(), 9), (lease_granted(), 10), (answer_in_flight(), 9)] {
-        let (states, error) = search(from, PlantedError::None, depth, usize::MAX);
+        let (states, error) = search(from, PlantedError::Nothing, depth, usize::MAX);
         assert_eq!(error, None);
         println!("{states} states within {depth} steps");
         assert!(states > 10_000, "{states} states");
--- a/src/group/record.rs
+++ b/src/group/record.rs
@@ -3,7 +3,8 @@
 //! Guarantees: the same commands in the same order give the same state, independent of any clock; the token of a grant never
 //! decreases and is never given twice. State and commands are stored as JSON with field names, so that a neighbouring version
 //! ignores fields that it does not know and takes the default for those that are missing. A release may propose a new kind of
-//! command only if the release before it already knows that kind; a voter that cannot decode a committed command stops voting.
+//! command only if the release before it already knows that kind; a voter that cannot decode a committed command stops
+//! voting.
 
 use crate::failover::plan::{Order, Plan, Wish};
 use crate::failover::ZONES;
@@ -23,8 +24,8 @@
     pub holder: Option<String>,
     /// Token of the latest grant.
     pub token: u64,
-    /// Number of renewals, the grant included. `Command::Free` names the last renewal that the leader saw, so that a lease renewed
-    /// meanwhile is not freed.
+    /// Number of renewals, the grant included. `Command::Free` names the last renewal that the leader saw, so that a lease
+    /// renewed meanwhile is not freed.
     pub renewals: u64,
 }
 
@@ -132,8 +133,8 @@
     Held(String),
     /// The change was made.
     Done,
-    /// The command was rejected: its token is not that of the current grant, its number is not the next one, a name is empty or too
-    /// long, or a bound is reached.
+    /// The command was rejected: its token is not that of the current grant, its number is not the next one, a name is empty
+    /// or too long, or a bound is reached.
     Stale,
 }
 
@@ -310,8 +311,8 @@
     }
 
     proptest! {
-        /// Guards against a token that decreases or is granted to two clients, a change that leaves the version as it was, and a state
-        /// or command that differs after encoding and decoding.
+        /// Guards against a token that decreases or is granted to two clients, a change that leaves the version as it was,
+        /// and a state or command that differs after encoding and decoding.
         #[test]
         fn tokens_never_decrease_and_each_has_one_holder(commands in prop::collection::vec(any_command(), 0..60)) {
             let (mut state, mut granted) = (State::default(), BTreeMap::<u64, (String, String)>::new());
@@ -345,8 +346,8 @@
         }
     }
 
-    /// Guards against neighbouring versions that cannot decode each other's state: unknown fields are ignored and missing ones take
-    /// their default.
+    /// Guards against neighbouring versions that cannot decode each other's state: unknown fields are ignored and missing
+    /// ones take their default.
     #[test]
     fn unknown_fields_are_ignored_and_missing_ones_take_their_default() {
         let newer = br#"{"version":3,"tokens":2,"plans":[1],"leases":{"a":{"holder":"x","token":2,"renewals":1,"by":7}}}"#;
--- a/src/group/voter.rs
+++ b/src/group/voter.rs
@@ -1,10 +1,10 @@
 //! A voter of the group: tikv's raft over the replicated record, as a driver without I/O. Messages, requests and the time go
 //! in; messages, answers and storage updates come out.
 //!
-//! Guarantees: a raft message that depends on a write is sent only after the storage has persisted that write, and a client is
-//! answered only after its command has been committed by a majority. A voter stops for good where its storage fails, where its
-//! folder is older than what it has already announced from it ([`Beacon`]), or where another folder has replaced it in the
-//! group. Not guaranteed: progress without a majority, and an answer to every request; clients ask again.
+//! Guarantees: a raft message that depends on a write is sent only after the storage has persisted that write, and a client
+//! is answered only after its command has been committed by a majority. A voter stops for good where its storage fails, where
+//! its folder is older than what it has already announced from it ([`Beacon`]), or where another folder has replaced it in
+//! the group. Not guaranteed: progress without a majority, and an answer to every request; clients ask again.
 
 use super::folder::{StorageUpdate, StoredVoter, VoterStorage};
 use super::lease::{LeaseMonitor, LeaseTerms};
@@ -86,8 +86,8 @@
     }
 }
 
-/// How far a voter's folder has progressed. Voters announce it to each other; where one has seen a later value for a folder than
-/// the folder holds, the folder is an older copy.
+/// How far a voter's folder has progressed. Voters announce it to each other; where one has seen a later value for a folder
+/// than the folder holds, the folder is an older copy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FolderProgress {
     /// The latest term that the folder has stored.
@@ -97,8 +97,8 @@
     pub committed: u64,
 }
 
-/// Announcement of a voter's folder, sent to the other voters at its start and periodically after it. The receiver answers with
-/// the progress that it has seen of that folder.
+/// Announcement of a voter's folder, sent to the other voters at its start and periodically after it. The receiver answers
+/// with the progress that it has seen of that folder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Beacon {
     /// Name of the sending voter.
@@ -207,8 +207,8 @@
 }
 
 impl<K: VoterStorage> Voter<K> {
-    /// Creates the voter with this name from its stored state. `peers` are the voters that its first beacons go to, beside those
-    /// in the record.
+    /// Creates the voter with this name from its stored state. `peers` are the voters that its first beacons go to, beside
+    /// those in the record.
     pub fn new(
         now: Micros,
         name: &str,
@@ -377,8 +377,8 @@
         Beacon { name: self.name.clone(), id, progress: self.progress, heard: None, replaces }
     }
 
-    /// As leader, proposes the membership change that a beacon asks for: the new folder replaces that of the named voter, by joint
-    /// consensus, so that the majorities of the old and of the new voters both have to agree.
+    /// As leader, proposes the membership change that a beacon asks for: the new folder replaces that of the named voter, by
+    /// joint consensus, so that the majorities of the old and of the new voters both have to agree.
     fn propose_replacement(&mut self, beacon: &Beacon) {
         let Some(replaces) = beacon.replaces.as_ref().filter(|_| self.is_ready_leader()) else { return };
         let named = |(_, name): &(&u64, &String)| *name == replaces;
@@ -404,8 +404,8 @@
         let _ = self.node.propose_conf_change(Vec::new(), joint_change);
     }
 
-    /// Proposes a command for a client. Returns false where this voter is not a ready leader or raft rejects the proposal; the
-    /// client should then ask another voter.
+    /// Proposes a command for a client. Returns false where this voter is not a ready leader or raft rejects the proposal;
+    /// the client should then ask another voter.
     pub fn request(&mut self, from: &str, id: u64, command: &Command) -> bool {
         self.is_ready_leader() && self.propose(command, Some((from.into(), id)))
     }
@@ -424,7 +424,8 @@
         accepted
     }
 
-    /// Sends beacons when they are due. Returns whether a majority has confirmed this folder, so that the voter may take part.
+    /// Sends beacons when they are due. Returns whether a majority has confirmed this folder, so that the voter may take
+    /// part.
     fn exchange_beacons(&mut self, now: Micros) -> bool {
         let interval = if self.confirmed_by.is_some() || self.own_beacon().replaces.is_some() {
             JOINING_BEACON_INTERVAL
@@ -444,7 +445,8 @@
             self.outgoing.extend(beacons);
         }
         if let Some(confirmed_by) = &self.confirmed_by {
-            // With this voter itself these are a majority. A folder without a record has made no promise to anyone and needs none.
+            // With this voter itself these are a majority. A folder without a record has made no promise to anyone and needs
+            // none.
             let voters = &self.state.voters;
             let confirmed = confirmed_by.iter().filter(|id| voters.contains_key(id)).count();
             if voters.is_empty() || confirmed >= voters.len() / 2 {
