--- a/src/group/account.rs
+++ b/src/group/account.rs
@@ -1,41 +1,43 @@
-//! The fleet's account: one writer for all members, under the lease [`super::ACCOUNT_TASK`]. No I/O.
+//! The fleet's account: one writer for all members, the holder of [`super::ACCOUNT_TASK`]. No I/O.
 //!
-//! Every member tells the holder what it has counted since it started; the holder writes pages of all that it was told. A page's
-//! number is decided in the record before a row of it is written, so each number has one writer; its rows are counts that only
-//! grow, by process and team, so a page that is cut short, left out, or written twice over by two holders counts nothing
-//! twice: of a process and team the latest row is taken. What a holder was told and had not written when it was lost is told
-//! to the next one again by those who counted it; a process that has ended since is in the pages written before.
+//! Each member reports to the holder what it has counted since it started, and the holder writes pages of all reports. A page's
+//! number is decided in the record before any of its rows is written, so each number has one writer. Rows are counts by process
+//! and team that only grow, and a reader takes the latest row of each process and team: a page that is truncated, missing, or
+//! written by two holders is not counted twice. Reports that a failed holder had not yet written are sent to the next holder
+//! again by the members that counted them; the counts of a process that has ended are in the pages written before.
 
 use super::messages::UsageReport;
 use crate::api::Micros;
 use crate::contracts::row::Row;
 use std::collections::BTreeMap;
 
-/// Rows that are held at most, so that nobody can fill a holder's memory.
+/// Maximum number of rows, and of processes, that the holder keeps: reports cannot exhaust its memory.
 const MAX_ROWS: usize = 16_384;
 
-/// One page.
+/// A page of the fleet's account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountPage {
-    /// Its number.
+    /// Number of the page.
     pub number: u64,
-    /// Under which token it was written.
+    /// Token of the lease under which it was written.
     pub token: u64,
-    /// Of each process, by name and start: its rows.
+    /// Rows with the name and start time of their process.
     pub rows: Vec<(String, u64, Row)>,
-    /// Members that have told nothing lately: what they counted since is not in it.
+    /// Members without a recent report: their latest counts are not in the page.
     pub missing: Vec<String>,
 }
 
-/// What the holder was told.
+/// Reports that this process has received, from which pages are made.
 #[derive(Debug, Default)]
 pub struct AccountBook {
+    /// The latest row by process name, start time and team.
     rows: BTreeMap<(String, u64, String), Row>,
+    /// When each process last reported, by name.
     last_report: BTreeMap<String, Micros>,
 }
 
 impl AccountBook {
-    /// A report came, late, doubled or in order.
+    /// Adds a report, which may be delayed, duplicated or reordered: a row never replaces a later one.
     pub fn add_report(&mut self, now: Micros, report: UsageReport) {
         for row in report.rows {
             let key = (report.balancer.clone(), report.started, row.team.clone());
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The page with this number, written now.
+    /// Returns the page with this number. Members that have not reported for two intervals are listed as missing.
     pub fn build_page(
         &self,
         now: Micros,
@@ -81,17 +83,17 @@
     }
 
     proptest! {
-        /// Guards against what is counted twice or lost: reports in any order, doubled, to two holders one after the other; of
-        /// all their pages the latest rows sum to what all have counted.
+        /// Guards against counts that are lost or doubled when reports are reordered, duplicated and sent to two holders one
+        /// after the other: the latest rows of all pages sum to all counts.
         #[test]
-        fn pages_of_any_holders_sum_to_what_was_counted(
-            told in prop::collection::vec((0usize..4, 0u64..50, any::<bool>()), 1..40), from in 0usize..40,
+        fn latest_rows_of_the_pages_of_two_holders_sum_to_all_counts(
+            reports in prop::collection::vec((0usize..4, 0u64..50, any::<bool>()), 1..40), handover in 0usize..40,
         ) {
-            let (mut books, mut most) = ([AccountBook::default(), AccountBook::default()], [None; 4]);
-            for (n, (who, asked, twice)) in told.iter().enumerate() {
-                let book = &mut books[usize::from(n >= from)];
-                (0..1 + usize::from(*twice)).for_each(|_| book.add_report(1, report(&format!("n{who}"), *asked)));
-                most[*who] = most[*who].max(Some(*asked));
+            let (mut books, mut highest) = ([AccountBook::default(), AccountBook::default()], [None; 4]);
+            for (n, (process, asked, duplicate)) in reports.iter().enumerate() {
+                let book = &mut books[usize::from(n >= handover)];
+                (0..1 + usize::from(*duplicate)).for_each(|_| book.add_report(1, report(&format!("n{process}"), *asked)));
+                highest[*process] = highest[*process].max(Some(*asked));
             }
             let mut latest: BTreeMap<(String, u64), Row> = BTreeMap::new();
             for page in [books[1].build_page(2, 2, 2, &[], 1), books[0].build_page(2, 1, 1, &[], 1)] {
@@ -102,13 +104,13 @@
                     }
                 }
             }
-            prop_assert_eq!(latest.values().map(|row| row.asked).sum::<u64>(), most.iter().flatten().sum::<u64>());
+            prop_assert_eq!(latest.values().map(|row| row.asked).sum::<u64>(), highest.iter().flatten().sum::<u64>());
         }
     }
 
-    /// Guards against a page that passes for whole while a member has told nothing.
+    /// Guards against a page that looks complete although a member has not reported.
     #[test]
-    fn who_told_nothing_lately_is_named() {
+    fn members_without_a_recent_report_are_listed_as_missing() {
         let mut book = AccountBook::default();
         book.add_report(10, report("a", 1));
         book.add_report(50, report("b", 1));
--- a/src/group/duties.rs
+++ b/src/group/holder_tasks.rs
@@ -1,5 +1,5 @@
-//! What the holders of tasks do beside acting: the fleet's account and the plan for zones. Each tells the holder what it knows;
-//! the holder proposes to the record, and what the record takes is what counts.
+//! Tasks with decisions of their own: the fleet's account and the plan for zones. Each member reports to the task's holder, the
+//! holder proposes to the record, and a proposal takes effect only once the record has it.
 
 use super::folder::Keep;
 use super::member::{Event, Member, PendingRequest};
@@ -12,19 +12,19 @@
 use crate::failover::plan;
 use crate::failover::TASK as FAILOVER;
 
-/// The target of the log line for each plan that is proposed.
+/// Log target of the line for each plan that is proposed.
 const PROPOSALS_TARGET: &str = "oakdeal::proposals";
-/// Rows in one report.
+/// Maximum number of rows in one report, which keeps a report within few datagrams.
 const MAX_ROWS_PER_REPORT: usize = 32;
 
 impl<K: Keep> Member<K> {
-    /// Who holds a task by the record.
+    /// Returns the name of the task's holder by the record.
     fn holder_of(&self, task: &str) -> Option<String> {
         let lease = self.record().leases.get(task)?;
         lease.holder.as_deref()?.split('#').next().map(String::from)
     }
 
-    /// What was counted here since the start, for whoever writes the account.
+    /// Reports this process's counts since its start to the writer of the account.
     pub fn report_usage(&mut self, now: Micros, rows: &[Row]) {
         let (Some(holder), me) = (self.holder_of(ACCOUNT_TASK), self.peers.me().clone()) else { return };
         for rows in rows.chunks(MAX_ROWS_PER_REPORT) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A page's number is decided: its rows are written if the task is still ours, and by nobody otherwise.
+    /// Writes the page whose number was decided, if this member still holds the task; otherwise the page stays unwritten.
     pub(super) fn write_page(&mut self, now: Micros, number: u64) {
         let Some(token) = self.acting_token(now, ACCOUNT_TASK) else { return };
         let members: Vec<String> = self.peers.members().into_iter().map(|m| m.name).collect();
@@ -45,6 +45,7 @@
         self.push_event_under(ACCOUNT_TASK, token, Event::AccountPage(page));
     }
 
+    /// Proposes the number of the next page, if this member writes the account and a page is due.
     pub(super) fn propose_page(&mut self, now: Micros) {
         let Some(token) = self
             .acting_token(now, ACCOUNT_TASK)
@@ -58,7 +59,7 @@
         self.request(RequestBody::Change(command), Some(PendingRequest::Page(page)));
     }
 
-    /// What is seen of the zones here, for whoever makes the plan.
+    /// Reports this process's view of the zones to the member that makes the plan.
     pub fn report_digest(&mut self, now: Micros, digest: Digest) {
         match self.holder_of(FAILOVER) {
             Some(holder) if holder == self.peers.me().name => self.receive_digest(now, digest),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// A digest came.
+    /// Takes a digest for the plan, if this member makes it.
     pub(super) fn receive_digest(&mut self, now: Micros, digest: Digest) {
         let Some(token) = self.acting_token(now, FAILOVER) else { return };
         let Some(planner) = &mut self.planner else { return };
@@ -75,15 +76,15 @@
         self.push_event_under(FAILOVER, token, Event::DigestReceived(digest));
     }
 
-    /// Makes the plan, where that is its task.
+    /// Proposes a plan where one is due, and ends orders that have expired, if this member makes the plan.
     pub(super) fn propose_plan(&mut self, now: Micros) {
         let token = self.acting_token(now, FAILOVER);
         let record = self.record();
         let (old, orders) = (record.plan.clone(), record.orders.clone());
         let Some(planner) = &mut self.planner else { return };
         let Some(token) = token else { return planner.rest() };
-        let (put, over) = planner.turn(now, old.as_ref(), &orders);
-        if let Some(plan) = put {
+        let (proposed, ended) = planner.turn(now, old.as_ref(), &orders);
+        if let Some(plan) = proposed {
             let (serial, renewed) = (plan.serial, plan.renewed);
             tracing::debug!(target: PROPOSALS_TARGET, serial, renewed, to = self.change_recipient(), "a plan is proposed");
             if old.as_ref().is_none_or(|old| old.serial != plan.serial) {
@@ -91,17 +92,17 @@
             }
             self.request(RequestBody::Change(Command::Plan { task: FAILOVER.into(), token, plan }), None);
         }
-        for (zone, number) in over.iter().filter_map(|zone| Some((zone, orders.get(zone)?.number))) {
+        for (zone, number) in ended.iter().filter_map(|zone| Some((zone, orders.get(zone)?.number))) {
             self.request(RequestBody::Change(Command::Ended { zone: zone.clone(), number }), None);
         }
     }
 
-    /// An operator wants something of a zone, or nothing any more.
+    /// Proposes an operator's order for a zone, or that it ends (`wish` is `None`).
     pub fn order_zone(&mut self, zone: &str, wish: Option<plan::Wish>, lasts_ms: u64) {
         self.request(RequestBody::Change(Command::Order { zone: zone.into(), wish, lasts_ms }), None);
     }
 
-    /// The zones as the record has them, a line each; whoever makes the plan knows who follows which.
+    /// Returns the zones by the plan in the record, one a line; the maker of the plan adds which balancers follow which plan.
     pub fn zone_status_text(&self, now: Micros) -> String {
         use std::fmt::Write as _;
         let (record, mut text) = (self.record(), String::new());
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -1,7 +1,9 @@
-//! One process in the group: its membership, its vote where it has one, and the tasks that it wants. No I/O.
+//! One process in the group: its membership, its vote if it is a voter, and the tasks that it wants to hold. No I/O.
 //!
-//! Promised: a task's act is begun only under a lease that is its own by its own clock, both when the act is decided and when it
-//! leaves the [`Outbox`]; what it knows of the record is never older than what it knew before. A datagram that cannot be read is counted and changes nothing.
+//! Guarantees: an action on a task is begun only while this process holds the task's lease by its own clock, which is checked
+//! when the action is decided and again when it leaves the [`Outbox`]; the version of the record known here never decreases.
+//! A datagram that cannot be decoded is counted and has no other effect. Not guaranteed: that a request is answered. Requests
+//! are not retransmitted as such; the lease, the account and the plan propose again.
 
 use super::account::{AccountBook, AccountPage};
 use super::folder::Keep;
@@ -19,93 +21,106 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// What a member has to tell.
+/// What a member reports to the task that runs it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Somebody came or went.
+    /// A member joined, left or was declared down.
     PeerChanged(Note),
-    /// It holds the task from now on.
+    /// This member holds the lease of the task from now on, under this token.
     LeaseAcquired(String, u64),
-    /// It acts no longer under this token.
+    /// This member has stopped acting on the task under this token.
     LeaseEnded(String, u64),
-    /// An act of somebody's came; whether it is carried out.
+    /// An action under a lease, of this or another member, and whether the fencing check accepts it.
     Action(LeasedAction, bool),
-    /// Its folder failed: it votes no more.
+    /// This member has stopped voting, for this reason: its storage failed, or another voter has its seat.
     VotingStopped(String),
-    /// A page of the fleet's account is to be written.
+    /// A page of the fleet's account to be written.
     AccountPage(AccountPage),
-    /// A balancer's digest came to whoever makes the plan.
+    /// A digest of the zones that was received for the plan made here.
     DigestReceived(Digest),
-    /// Another plan is proposed.
+    /// A plan that differs from the one in the record has been proposed.
     PlanProposed(Plan),
 }
 
-/// Between two looks at the record that nobody's gossip gave cause for, and two questions for the same one.
+/// Interval in microseconds at which a member that does not vote asks for the record although no gossip announced a newer one.
 const RECORD_POLL_INTERVAL: Micros = 10_000_000;
+/// Minimum interval in microseconds between two requests for a newer record: each gossip packet announces it until it arrives.
 const RECORD_REQUEST_INTERVAL: Micros = 300_000;
-/// Between two tellings of an act to so many members at most; to more it is told less often.
+/// Interval in microseconds between two announcements of an action, for each started [`MEMBERS_PER_ACTION_INTERVAL`] members.
 const ACTION_INTERVAL: Micros = 100_000;
+/// Number of members per [`ACTION_INTERVAL`]: larger groups announce less often, which bounds the datagrams a second.
 const MEMBERS_PER_ACTION_INTERVAL: usize = 15;
-/// The longest words in one datagram, and in each of several.
+/// Maximum length in bytes of an encoded message in one datagram.
 const MAX_MESSAGE_BYTES: usize = LONGEST - ADDED;
-const MAX_FRAGMENT_BYTES: usize = MAX_MESSAGE_BYTES - 16;
-/// What a question was for.
+/// Bytes reserved for the header of a fragment, which takes 11: kind, message id, index and count.
+const FRAGMENT_HEADER_BYTES: usize = 16;
+/// Maximum number of bytes of a message in one fragment.
+const MAX_FRAGMENT_BYTES: usize = MAX_MESSAGE_BYTES - FRAGMENT_HEADER_BYTES;
+/// Maximum number of requests whose responses are awaited; the oldest is forgotten, since responses may be lost.
+const MAX_PENDING_REQUESTS: usize = 64;
+/// Multiplier (2^64 divided by the golden ratio) that keeps the message ids of processes with close start times apart.
+const MESSAGE_ID_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// What a request was made for, kept until its response arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum PendingRequest {
-    /// A task's lease, by its number there.
+    /// The lease of a task, and the number of the lease's own request.
     Lease(String, u64),
-    /// A page of the account.
+    /// The number of a page of the fleet's account.
     Page(u64),
 }
 
-/// What a member does for the fleet, and how.
+/// The tasks of a member and their intervals.
 #[derive(Clone, Debug)]
 pub struct TaskSettings {
-    /// The tasks that it wants.
+    /// Tasks that the member tries to hold.
     pub tasks: Vec<String>,
-    /// It holds one for so long at most.
+    /// Maximum time that a task is held before it is released, so that other members get a turn.
     pub max_hold: Micros,
-    /// How often the account is written.
+    /// Interval between two pages of the fleet's account.
     pub account_interval: Micros,
 }
 
-/// A member.
+/// A process in the group, as a state machine: datagrams and the time go in, datagrams and [`Event`]s come out.
 pub struct Member<K> {
     pub(super) peers: Peers,
     voters: Vec<String>,
     voter: Option<Voter<K>>,
-    /// The record as last heard, where it does not vote itself.
+    /// The newest record received from another member; used where it is newer than the voter's, or where this member does not vote.
     received_record: State,
     terms: Terms,
     pub(super) task_settings: TaskSettings,
     holders: BTreeMap<String, Holder>,
-    /// Under which token it acts, since when, and when it told of it last.
+    /// By task: token under which this member acts, since when, and when it last announced an action.
     acting: BTreeMap<String, (u64, Micros, Micros)>,
     gate: Gate,
-    /// Whom to ask: the voter that led when last heard of, else one after the other.
+    /// Position among the voters of the next one to send a change to: the last known leader, else one after the other.
     next_voter: usize,
-    /// Questions that are out.
+    /// Requests whose responses are awaited, by request number.
     pending_requests: BTreeMap<u64, PendingRequest>,
     last_request_id: u64,
-    /// Answers to questions of its own: there is no address of its own to send them to.
+    /// Responses to its own requests: a member has no address of its own to send them to.
     responses_to_self: Vec<Response>,
+    /// When the record was last polled, see [`RECORD_POLL_INTERVAL`].
     last_record_poll: Micros,
-    /// When a later record was last asked for.
+    /// When a newer record was last requested after gossip had announced it.
     last_record_request: Micros,
     reassembly: Reassembly,
+    /// Id of the last message that was sent as fragments.
     last_message_id: u64,
     pub(super) account_book: AccountBook,
+    /// When a page of the account was last proposed.
     pub(super) last_page: Micros,
-    /// Makes plans for zones, where this process can.
+    /// Makes plans for zones, if this process is configured to.
     pub(super) planner: Option<Planner>,
     messages: Outbox<(SocketAddr, Vec<u8>)>,
     events: Outbox<Event>,
-    /// Datagrams that could not be read.
+    /// Number of datagrams that could not be decoded.
     pub unreadable: u64,
 }
 
 impl<K: Keep> Member<K> {
-    /// One with these duties.
+    /// Returns a member that tries to hold the tasks of `task_settings`.
     pub fn new(
         now: Micros,
         peers: Peers,
@@ -116,7 +131,7 @@
     ) -> Member<K> {
         let mut voters = voters.to_vec();
         voters.sort();
-        // A name may be taken over by a later process: what the older one holds is not the later one's.
+        // A restarted process has the same name: the start time keeps it from taking the leases of its predecessor for its own.
         let me = format!("{}#{}", peers.me().name, peers.me().started);
         let holder = |task: &String| (task.clone(), Holder::new(now, terms, task, &me));
         Member {
@@ -135,7 +150,7 @@
             last_record_poll: now,
             last_record_request: 0,
             reassembly: Reassembly::default(),
-            last_message_id: peers.me().started.wrapping_mul(0x9E37_79B9_7F4A_7C15),
+            last_message_id: peers.me().started.wrapping_mul(MESSAGE_ID_MULTIPLIER),
             account_book: AccountBook::default(),
             last_page: now,
             planner: None,
@@ -146,12 +161,12 @@
         }
     }
 
-    /// It can make plans for zones.
+    /// Lets this member make plans for zones.
     pub fn set_planner(&mut self, planner: Planner) {
         self.planner = Some(planner);
     }
 
-    /// The record as it is known here.
+    /// Returns the newest record known here.
     pub fn record(&self) -> &State {
         self.voter.as_ref().map_or(&self.received_record, |voter| {
             match voter.state().version >= self.received_record.version {
@@ -161,12 +176,12 @@
         })
     }
 
-    /// The token under which an act on this task may begin now.
+    /// Returns the token under which an action on this task may begin now.
     pub fn acting_token(&self, now: Micros, task: &str) -> Option<u64> {
         self.holders.get(task)?.acts(now).filter(|token| self.acting.get(task).is_some_and(|a| a.0 == *token))
     }
 
-    /// For how long acts on this task may still begin, in microseconds; 0 where none may.
+    /// Returns for how long actions on this task may still begin, in microseconds; 0 if none may.
     pub fn lease_left(&self, now: Micros, task: &str) -> Micros {
         match self.acting_token(now, task) {
             Some(_) => self.holders.get(task).map_or(0, |holder| holder.left(now)),
@@ -174,7 +189,7 @@
         }
     }
 
-    /// A datagram's words.
+    /// Handles the content of a datagram.
     pub fn receive(&mut self, now: Micros, datagram: &[u8]) {
         match Message::decode(datagram) {
             Some(Message::Gossip { from, version, bytes }) => {
@@ -196,7 +211,7 @@
             Some(Message::Digest(digest)) => self.receive_digest(now, digest),
             Some(Message::Fragment(fragment)) => {
                 if let Some(whole) = self.reassembly.add(fragment) {
-                    // Reassembly of parts are nobody's words.
+                    // No member sends fragments inside fragments.
                     match whole.first() {
                         Some(b'p') | None => self.unreadable += 1,
                         Some(_) => self.receive(now, &whole),
@@ -207,7 +222,7 @@
         }
     }
 
-    /// Somebody has a record of this version: it is asked for, of whoever has it.
+    /// Requests the record from a member that announced this version, if it is newer than the one known here.
     fn request_newer_record(&mut self, now: Micros, from: &str, version: u64) {
         let mine = self.record().version;
         if version > mine && now >= self.last_record_request + RECORD_REQUEST_INTERVAL {
@@ -225,7 +240,7 @@
                 }
                 ResponseBody::Redirect(self.voter.as_ref().and_then(|voter| voter.leader().0.map(Into::into)))
             }
-            // Whatever is in anybody's record was decided.
+            // Every record was decided by a majority, so any member may serve it.
             RequestBody::RecordNewerThan(version) if self.record().version > version => {
                 ResponseBody::Record(self.record().clone())
             }
@@ -234,6 +249,7 @@
         self.respond(&from, Response { id, body });
     }
 
+    /// Sends a response, or keeps it for [`Member::handle_responses_to_self`].
     fn respond(&mut self, to: &str, response: Response) {
         if to == self.peers.me().name {
             self.responses_to_self.push(response);
@@ -250,10 +266,10 @@
 
     fn handle_response(&mut self, now: Micros, response: Response) {
         let pending = self.pending_requests.remove(&response.id);
-        tracing::trace!(id = response.id, "group: is answered");
+        tracing::trace!(id = response.id, "group: response received");
         match response.body {
             ResponseBody::Outcome(Outcome::Stale) if pending.is_none() => {
-                tracing::debug!("group: a proposal was based on an older record, or its lease is over");
+                tracing::debug!("group: a proposal was based on an older record, or its lease has ended");
             }
             ResponseBody::Outcome(outcome) => match pending {
                 Some(PendingRequest::Lease(task, id)) => {
@@ -263,12 +279,12 @@
                 _ => {}
             },
             ResponseBody::Redirect(leader) => {
-                tracing::debug!(leader, "group: a question went to a voter that does not lead");
+                tracing::debug!(leader, "group: a request was sent to a voter that does not lead");
                 let known = leader.and_then(|name| self.voters.iter().position(|voter| *voter == name));
                 self.next_voter = known.unwrap_or(self.next_voter + 1);
             }
             ResponseBody::Record(state) if state.version > self.received_record.version => {
-                // The voters are those of the record, whatever the file says.
+                // The record's voters replace those of the operator's file.
                 if !state.seats.is_empty() {
                     self.voters = state.seats.values().cloned().collect();
                 }
@@ -290,7 +306,7 @@
         self.send_under_lease(None, to, message);
     }
 
-    /// Queues a message; with a lease it is sent only while the lease lasts.
+    /// Queues a message; with a lease it is sent only while that lease lasts.
     fn send_under_lease(&mut self, lease: Option<&LeaseToken>, to: &str, message: &Message) {
         let Some(at) = self.peers.address(to) else { return };
         let bytes = message.encode();
@@ -299,7 +315,10 @@
         }
         self.last_message_id = self.last_message_id.wrapping_add(1);
         let Some(fragments) = Reassembly::split(self.last_message_id, &bytes, MAX_FRAGMENT_BYTES) else {
-            return tracing::error!("group: {} bytes are too long for so many datagrams", bytes.len());
+            return tracing::error!(
+                "group: a message of {} bytes exceeds the maximum number of fragments",
+                bytes.len()
+            );
         };
         for fragment in fragments {
             self.messages.push(lease.cloned(), (at, fragment.encode()));
@@ -311,13 +330,14 @@
         self.events.push(None, event);
     }
 
-    /// Queues an event that is carried out only while the grant lasts under which it was decided.
+    /// Queues an event that is carried out only while the lease of `task` under `token` lasts.
     pub(super) fn push_event_under(&mut self, task: &str, token: u64, event: Event) {
         self.events.push(Some(LeaseToken { task: task.into(), token }), event);
     }
 
-    /// Who is asked for a change. A voter knows who leads; only the leader can change the record, so a voter that asks anyone else
-    /// loses the request. Others ask one voter after the other until one names the leader.
+    /// Returns the member to which changes are proposed. Only the leader can change the record, so a voter, which knows the
+    /// leader, proposes to it; a request to any other member would be lost. Members that do not vote try one voter after the
+    /// other until one names the leader.
     pub(super) fn change_recipient(&self) -> Option<&str> {
         if let Some(voter) = &self.voter {
             let me = self.peers.me().name.as_str();
@@ -329,8 +349,9 @@
         self.voters.get(self.next_voter % self.voters.len().max(1)).map(String::as_str)
     }
 
+    /// Sends a request to the member that takes changes, see [`Member::change_recipient`].
     pub(super) fn request(&mut self, body: RequestBody, pending: Option<PendingRequest>) {
-        // The words go the same way to itself.
+        // The recipient may be this member itself.
         let Some(to) = self.change_recipient().map(String::from) else { return };
         self.request_from(&to, body, pending);
     }
@@ -340,11 +361,11 @@
         let (id, from) = (self.last_request_id, self.peers.me().name.clone());
         if let Some(pending) = pending {
             self.pending_requests.insert(id, pending);
-            while self.pending_requests.len() > 64 {
+            while self.pending_requests.len() > MAX_PENDING_REQUESTS {
                 self.pending_requests.pop_first();
             }
         }
-        tracing::trace!(id, to, what = ?body, "group: asks");
+        tracing::trace!(id, to, what = ?body, "group: request sent");
         let request = Request { id, from: from.clone(), body };
         match to == from {
             true => self.handle_request(request),
@@ -352,7 +373,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Does what is due by `now`. To be called every few tens of milliseconds, and after datagrams were received.
     pub fn tick(&mut self, now: Micros) {
         self.peers.turn(now);
         let notes = self.peers.notes();
@@ -379,7 +400,7 @@
             self.voter = None;
             self.push_event(Event::VotingStopped("another has its place in the record".into()));
         }
-        // Answers to itself may let the voter say more.
+        // The voter's acknowledgement of its own writes may produce more output.
         for _ in 0..2 {
             let Some(voter) = &mut self.voter else { return };
             match voter.turn(now) {
@@ -408,13 +429,12 @@
         let wanted = holder.turn(now);
         let allowed = holder.acts(now);
         if let Some((id, command)) = wanted {
-            // Whoever did not answer in a sixth of a span is not asked again at once.
-            let unanswered =
-                |pending: &PendingRequest| matches!(pending, PendingRequest::Lease(of, _) if of == task);
+            // The voter did not respond within a sixth of the lease span: the next one is tried.
+            let unanswered = |pending: &PendingRequest| matches!(pending, PendingRequest::Lease(requested, _) if requested == task);
             if self.pending_requests.values().any(unanswered) {
                 self.next_voter += 1;
                 self.pending_requests.retain(|_, pending| match pending {
-                    PendingRequest::Lease(of, n) => of != task || *n + 2 >= id,
+                    PendingRequest::Lease(requested, n) => requested != task || *n + 2 >= id,
                     PendingRequest::Page(_) => true,
                 });
             }
@@ -441,7 +461,7 @@
         }
     }
 
-    /// Acts on a task: tells all other members, and itself.
+    /// Announces an action on a task to all other members, and reports it as an event.
     fn announce_action(&mut self, task: &str, token: u64, members: &[peers::Member]) {
         let action = LeasedAction { task: task.into(), token, holder: self.peers.me().name.clone() };
         let lease = LeaseToken { task: task.into(), token };
@@ -452,7 +472,7 @@
         self.events.push(Some(lease), Event::Action(action, passes));
     }
 
-    /// Stops acting on a task, and lets another have it.
+    /// Stops acting on a task and returns its lease. This member does not request it again for half a lease span, so that another can.
     pub fn release_task(&mut self, now: Micros, task: &str) {
         let (rest, Some(holder)) = (self.terms.span / 2, self.holders.get_mut(task)) else { return };
         if let Some((id, command)) = holder.give_back(now, rest) {
@@ -463,22 +483,22 @@
         }
     }
 
-    /// Gives back all that it holds.
+    /// Releases all tasks that this member holds.
     pub fn release_all_tasks(&mut self, now: Micros) {
         self.holders.keys().cloned().collect::<Vec<_>>().iter().for_each(|task| self.release_task(now, task));
     }
 
-    /// Another voter leads, if this one does and another can.
+    /// Transfers leadership to another voter, if this member leads and another can take over.
     pub fn step_down(&mut self) -> bool {
         self.voter.as_mut().is_some_and(Voter::step_down)
     }
 
-    /// It drains now, or no longer.
+    /// Announces that this member drains, or no longer does.
     pub fn set_draining(&mut self, now: Micros, drains: bool) {
         self.peers.drains(now, drains);
     }
 
-    /// It goes.
+    /// Releases all tasks and announces that this member leaves the group.
     pub fn leave(&mut self, now: Micros) {
         self.release_all_tasks(now);
         self.holders.clear();
@@ -486,8 +506,8 @@
         self.send_gossip();
     }
 
-    /// The next message to be sent, and where to. `now` is read anew for each: an act whose lease has ended since it was decided
-    /// is dropped.
+    /// Returns the next message to send and its address. The caller reads the clock again for each call: a message whose lease
+    /// has ended since it was queued is dropped.
     pub fn next_message(&mut self, now: Micros) -> Option<(SocketAddr, Vec<u8>)> {
         let mut messages = std::mem::take(&mut self.messages);
         let message = messages.pop(|lease| self.lease_allows(now, lease));
@@ -495,8 +515,8 @@
         message
     }
 
-    /// The next event to be carried out. `now` is read anew for each, and is the event's time: what was decided under a lease that
-    /// has ended since is dropped.
+    /// Returns the next event to carry out. The caller reads the clock again for each call, and takes `now` for the time of the
+    /// event: an event whose lease has ended since it was queued is dropped.
     pub fn next_event(&mut self, now: Micros) -> Option<Event> {
         let mut events = std::mem::take(&mut self.events);
         let event = events.pop(|lease| self.lease_allows(now, lease));
@@ -504,18 +524,18 @@
         event
     }
 
-    /// Whether an act under this grant may begin now.
+    /// Returns whether an action under this lease may begin now.
     fn lease_allows(&self, now: Micros, lease: &LeaseToken) -> bool {
         self.acting_token(now, &lease.task) == Some(lease.token)
     }
 
-    /// Whether something is decided under a lease and not yet done.
+    /// Returns whether a message that needs a lease waits to be sent.
     #[cfg(feature = "failpoints")]
     pub fn has_pending_actions(&self) -> bool {
         self.messages.holds_lease_entries()
     }
 
-    /// All that an operator wants to see, a line each.
+    /// Returns the state of the group as shown to operators: members, leader, record and leases, one a line.
     pub fn status_text(&self, now: Micros) -> String {
         let mut text = String::new();
         for m in self.peers.members() {
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -1,15 +1,15 @@
-//! What the fleet decides in common: a record that a majority of voters keeps, and leases on the fleet's tasks.
+//! Group decisions of a fleet of balancers: a record replicated by a majority of voters, and leases on the fleet's tasks.
 //!
-//! Promised: what is in the record was kept by a majority before anybody was told; a task has one holder at a time
-//! ([`lease`] says what that rests on); nobody's clients wait for any of it. Not promised: progress without a majority.
-//! Used through [`task::Group`], which has the socket; [`member::Member`] is the same without I/O. docs/group.md weighs the ways
-//! and has the operators' page.
+//! Guarantees: a change of the record is announced only after a majority of voters has stored it; a task has one holder at a
+//! time ([`lease`] states the assumptions); clients never wait for any of this. Not guaranteed: progress without a majority.
+//! [`task::Group`] runs a member with its socket; [`member::Member`] is the same without I/O. docs/group.md discusses the
+//! alternatives and has the operators' page.
 
 pub mod account;
-mod duties;
 #[cfg(feature = "failpoints")]
 mod failpoint;
 pub mod folder;
+mod holder_tasks;
 pub mod lease;
 pub mod member;
 pub mod messages;
@@ -24,42 +24,42 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The task of moving connections home: one balancer's wave at a time.
+/// Task of rebalancing: only its holder moves connections back to their preferred servers, so one balancer does so at a time.
 pub const REBALANCE_TASK: &str = "rebalance";
-/// The task of writing the fleet's account.
+/// Task of writing the fleet's account.
 pub const ACCOUNT_TASK: &str = "account";
 
-/// The section `[group]` of the operator's file.
+/// The section `[group]` of the operator's file, checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How the others call this process, where that is not the platform's name.
+    /// Name of this process in the group, if it differs from the platform's name.
     pub name: Option<String>,
-    /// Where it takes datagrams.
+    /// Address on which datagrams are received.
     pub listen: SocketAddr,
-    /// The file of the fleet's key.
+    /// File with the key that authenticates datagrams.
     pub key: PathBuf,
-    /// Where it stands.
+    /// Zone of this process.
     pub zone: String,
-    /// See `zone`.
+    /// Region of this process.
     pub region: String,
-    /// The voters' names.
+    /// Names of the voters.
     pub voters: Vec<String>,
-    /// Where members are reached from here, by name.
+    /// Addresses of members as reached from this process, by name.
     pub members: BTreeMap<String, SocketAddr>,
-    /// A voter's memory.
+    /// Folder of a voter's storage.
     pub folder: Option<PathBuf>,
-    /// How often somebody is asked whether they are there.
+    /// Interval between two probes of the membership protocol.
     pub probe_interval: Micros,
-    /// How long a holder may act after it asked.
+    /// Time that a lease allows its holder to act, counted from its request.
     pub lease_span: Micros,
-    /// How far clocks run from true time, in millionths.
+    /// Maximum deviation of clocks from true time, in millionths.
     pub drift: u64,
-    /// The tasks that this process wants.
+    /// Tasks that this process tries to hold.
     pub tasks: Vec<String>,
-    /// How often the fleet's account is written.
+    /// Interval between two pages of the fleet's account.
     pub account_interval: Micros,
-    /// It holds one for so long at most, before another may.
+    /// Maximum time that a task is held before it is released to other members.
     pub max_hold: Micros,
-    /// A number that differs where the files differ.
+    /// Hash of the operator's file, by which members with different files are noticed.
     pub fingerprint: u32,
 }
--- a/src/group/outbox.rs
+++ b/src/group/outbox.rs
@@ -1,13 +1,13 @@
-//! What a member has decided and not yet done: messages to be sent and events to be carried out.
+//! Queue of what a member has decided but not yet done: messages to send and events to carry out.
 //!
 //! Invariant: an entry that was decided under a lease leaves the queue only while that lease still allows it; afterwards it
 //! is dropped. A process may be stopped for any time between a decision and its execution, so the lease is checked
-//! again, by a new reading of the clock, for each entry. What remains between that check and the system call no clock
-//! can close: there the fencing token holds, which the receiver's [`super::lease::Gate`] checks.
+//! again, by a new reading of the clock, for each entry. No clock closes the remaining gap between that check and the
+//! system call: there the fencing token protects, which the receiver's [`super::lease::Gate`] checks.
 
 use std::collections::VecDeque;
 
-/// The grant under which an entry was decided.
+/// Identifies the lease under which an entry was decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseToken {
     /// The task that is leased.
@@ -33,12 +33,12 @@
 }
 
 impl<T> Outbox<T> {
-    /// Adds an entry, which needs this lease where one is given.
+    /// Adds an entry, which requires this lease if one is given.
     pub fn push(&mut self, lease: Option<LeaseToken>, value: T) {
         self.entries.push_back(Entry { lease, value });
     }
 
-    /// Takes the next entry. Entries whose lease is not `allowed` any more are dropped and logged.
+    /// Removes and returns the next entry. Entries whose lease is no longer `allowed` are dropped and logged.
     pub fn pop(&mut self, allowed: impl Fn(&LeaseToken) -> bool) -> Option<T> {
         loop {
             let Entry { lease, value } = self.entries.pop_front()?;
@@ -49,20 +49,15 @@
         }
     }
 
-    /// Drops all entries under a lease that has ended. An ended lease allows nothing again under the same token.
+    /// Drops all entries under a lease that has ended; a lease is never allowed again under the same token.
     fn drop_under(&mut self, ended: &LeaseToken) {
         let before = self.entries.len();
         self.entries.retain(|entry| entry.lease.as_ref() != Some(ended));
         let (task, token, dropped) = (&ended.task, ended.token, 1 + before - self.entries.len());
-        tracing::warn!(
-            task,
-            token,
-            dropped,
-            "group: the lease ended before what was decided under it was done"
-        );
+        tracing::warn!(task, token, dropped, "group: entries were dropped because their lease had ended");
     }
 
-    /// Whether an entry under a lease is waiting.
+    /// Returns whether an entry that requires a lease is queued.
     #[cfg(feature = "failpoints")]
     pub fn holds_lease_entries(&self) -> bool {
         self.entries.iter().any(|entry| entry.lease.is_some())
--- a/src/group/outbox_tests.rs
+++ b/src/group/outbox_tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn entries_under_an_ended_lease_are_dropped_and_all_others_stay_in_order() {
+fn entries_under_an_ended_lease_are_dropped_and_the_others_keep_their_order() {
     let mut outbox = Outbox::default();
     for (lease, value) in [(None, 1), (lease(1), 2), (lease(2), 3), (lease(1), 4), (None, 5)] {
         outbox.push(lease, value);
@@ -15,11 +15,11 @@
 }
 
 #[test]
-fn the_lease_is_asked_for_each_entry_and_not_once_for_all() {
+fn the_lease_is_checked_for_each_entry() {
     let mut outbox = Outbox::default();
     (0..4).for_each(|value| outbox.push(lease(1), value));
-    let asked = std::cell::Cell::new(0);
-    let first_two = |_: &LeaseToken| asked.replace(asked.get() + 1) < 2;
+    let checks = std::cell::Cell::new(0);
+    let first_two = |_: &LeaseToken| checks.replace(checks.get() + 1) < 2;
     let left: Vec<i32> = std::iter::from_fn(|| outbox.pop(first_two)).collect();
     assert_eq!(left, [0, 1]);
 }
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -1,5 +1,5 @@
-//! The group's socket: datagrams under the key, the clock that goes on while the machine sleeps, and what a lease is for
-//! here. Decides nothing: [`super::member`] does.
+//! Runs a member of the group: its socket with authenticated datagrams, its clock, which also counts while the machine sleeps,
+//! and the effects of its events on this process. All decisions are made by [`super::member`].
 
 #[cfg(feature = "failpoints")]
 use super::failpoint::StopBeforeAct;
@@ -28,72 +28,72 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::Notify;
 
-/// Between two looks at what is due.
-const TURN: Duration = Duration::from_millis(50);
-/// Datagrams that are read before the next turn, at most: a flood of them does not hold up clients for more than milliseconds.
-const BATCH: usize = 128;
-/// What stands before the membership's own words in a datagram, at most.
-const HEAD: usize = 2 + record::LONGEST + 8;
-/// The target of what the maker of plans was told; `oakdeal zones plan` reads it.
+/// Maximum time between two calls of [`Member::tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of datagrams read before the next tick, so that a flood of them delays clients by milliseconds at most.
+const MAX_DATAGRAMS_PER_TICK: usize = 128;
+/// Maximum length in bytes of what precedes the membership packet in a datagram: kind, name with its length, record version.
+const MAX_GOSSIP_HEADER_BYTES: usize = 2 + record::LONGEST + 8;
+/// Log target of the digests that the maker of the plan receives; `oakdeal zones plan` reads them.
 pub const EVIDENCE_TARGET: &str = "oakdeal::evidence";
-/// Between two reports for the fleet's account, in microseconds.
-const REPORT: Micros = 1_000_000;
-/// A turn that comes later than it was due by so much is logged, in microseconds.
-const LATE_TURN: Micros = 250_000;
-/// What operators see is so old at most, in microseconds.
-const SHOWN: Micros = 100_000;
-/// A clock that runs at another rate, for the rig that tests drift: it is read from here, and from nowhere else.
-const RIG: &str = "OAKDEAL_RIG_CLOCK_RATE";
+/// Interval in microseconds between two usage reports for the fleet's account.
+const USAGE_REPORT_INTERVAL: Micros = 1_000_000;
+/// Time in microseconds since the last tick above which a late tick is logged.
+const LATE_TICK_THRESHOLD: Micros = 250_000;
+/// Minimum interval in microseconds between two updates of the [`StatusBoard`].
+const STATUS_INTERVAL: Micros = 100_000;
+/// Environment variable with the rate of the clock relative to true time, for tests of clock drift; the only source of that rate.
+const CLOCK_RATE_VARIABLE: &str = "OAKDEAL_RIG_CLOCK_RATE";
 
-/// What an operator may order.
+/// A command of an operator to the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Something of a zone for so many milliseconds, or nothing any more.
+    /// An order for a zone and its duration in milliseconds; without a wish the order that is in force ends.
     Zone(String, Option<Wish>, u64),
-    /// Another voter is to lead.
+    /// Transfer leadership to another voter.
     StepDown,
-    /// All tasks held here are to be given back.
+    /// Release all tasks held by this process.
     ReleaseTasks,
-    /// The program ends.
+    /// Leave the group, because the program ends.
     LeaveGroup,
 }
 
-/// What the group shows, and where it takes orders.
+/// Status of the group for operators, and the channel for their commands.
 pub struct StatusBoard {
     text: RefCell<String>,
     zones: RefCell<String>,
-    orders: UnboundedSender<OperatorCommand>,
+    commands: UnboundedSender<OperatorCommand>,
 }
 
 impl StatusBoard {
-    /// What is to be seen, a line each.
+    /// Returns the status of the group, one item a line.
     pub fn status(&self) -> String {
         self.text.borrow().clone()
     }
 
-    /// The zones by the fleet's plan, a line each; none where no plan is made.
+    /// Returns the zones by the fleet's plan, one item a line, or `None` if no plan is made.
     pub fn zone_status(&self) -> Option<String> {
         Some(self.zones.borrow().clone()).filter(|text| !text.is_empty())
     }
 
-    /// Gives an order.
+    /// Sends a command to the group.
     pub fn send(&self, command: OperatorCommand) {
-        // Cannot fail while the program runs: the group's task holds the other end.
-        let _ = self.orders.send(command);
+        // Cannot fail while the group runs, which holds the receiver.
+        let _ = self.commands.send(command);
     }
 }
 
-/// Time since the machine started, its sleep included.
+/// The process's clock: time since the machine started, including its sleep, at a rate that tests may set.
 struct Clock {
-    begun: Micros,
+    started_at: Micros,
     rate: f64,
 }
 
 /// One reading of the clock, in microseconds.
 struct Reading {
-    /// The machine's time, as it is logged.
+    /// The machine's time, as logged.
     boottime: Micros,
-    /// The same moment by this process's clock, which leases count by.
+    /// The same moment by this process's clock, which leases use.
     now: Micros,
 }
 
@@ -104,13 +104,13 @@
 
 impl Clock {
     fn new() -> Clock {
-        let rate = std::env::var(RIG).ok().and_then(|rate| rate.parse().ok()).unwrap_or(1.0);
-        Clock { begun: boottime(), rate }
+        let rate = std::env::var(CLOCK_RATE_VARIABLE).ok().and_then(|rate| rate.parse().ok()).unwrap_or(1.0);
+        Clock { started_at: boottime(), rate }
     }
 
     fn read(&self) -> Reading {
         let boottime = boottime();
-        let now = self.begun + ((boottime - self.begun) as f64 * self.rate) as Micros;
+        let now = self.started_at + ((boottime - self.started_at) as f64 * self.rate) as Micros;
         Reading { boottime, now }
     }
 
@@ -119,24 +119,24 @@
     }
 }
 
-/// The group's task; it has a socket from here on.
+/// A member of the group with its socket and clock.
 pub struct Group {
     member: Member<Writer>,
-    /// Notified when the voter's storage has kept something.
-    kept: Arc<Notify>,
+    /// Notified when writes of the voter's storage are durable.
+    storage_progress: Arc<Notify>,
     socket: UdpSocket,
     seal: Seal,
     clock: Clock,
-    orders: UnboundedReceiver<OperatorCommand>,
+    commands: UnboundedReceiver<OperatorCommand>,
     board: Rc<StatusBoard>,
     #[cfg(feature = "failpoints")]
     stop_before_act: StopBeforeAct,
-    /// How often it tells what it sees of the zones, where the fleet has a plan for them.
-    tells: Option<Micros>,
+    /// Interval at which the view of the zones is reported, if the fleet has a plan for them.
+    digest_interval: Option<Micros>,
 }
 
 impl Group {
-    /// Reads key and folder and binds the socket. `name`: how the platform calls this process.
+    /// Reads the key and the voter's folder, and binds the socket. `name` is the platform's name of this process.
     pub async fn start(
         settings: Settings,
         name: &str,
@@ -144,24 +144,24 @@
         seed: u64,
     ) -> Result<(Group, Rc<StatusBoard>), String> {
         let name = settings.name.as_deref().unwrap_or(name);
-        let said = |what: String| format!("[group]: {what}");
-        let seal = Seal::read(&settings.key).map_err(said)?;
+        let error = |what: String| format!("[group]: {what}");
+        let seal = Seal::read(&settings.key).map_err(error)?;
         let clock = Clock::new();
         let terms = lease::Terms { span: settings.lease_span, drift: settings.drift };
         let mut voter = None;
-        let kept_notify = Arc::new(Notify::new());
+        let storage_notify = Arc::new(Notify::new());
         if settings.voters.iter().any(|voter| voter == name) {
             let folder =
-                settings.folder.as_ref().ok_or_else(|| said(format!("{name} votes: give it a `folder`")))?;
+                settings.folder.as_ref().ok_or_else(|| error(format!("{name} votes: give it a `folder`")))?;
             match Folder::open(folder, name) {
                 Ok((folder, kept)) => {
                     let others = &settings.voters;
                     let writer =
-                        Writer::start(folder, kept_notify.clone()).map_err(|e| said(e.to_string()))?;
-                    let made = Voter::new(clock.now(), name, others, terms, writer, kept);
-                    voter = Some(made.map_err(|e| said(format!("{name} {e}")))?);
+                        Writer::start(folder, storage_notify.clone()).map_err(|e| error(e.to_string()))?;
+                    let opened = Voter::new(clock.now(), name, others, terms, writer, kept);
+                    voter = Some(opened.map_err(|e| error(format!("{name} {e}")))?);
                 }
-                // It serves, and watches like any other: nobody's clients are to suffer for it.
+                // The process serves clients and follows the record without a vote: a damaged folder is no reason to refuse clients.
                 Err(e) => tracing::error!("group: {name} does not vote: {e}"),
             }
         }
@@ -176,103 +176,110 @@
             settings: settings.fingerprint,
             drains: false,
         };
-        let book = settings.members.iter().filter(|(other, _)| *other != name);
-        let book = book.map(|(name, at)| (name.clone(), *at)).collect();
-        let peers = Peers::new(me, book, settings.probe_interval, LONGEST - ADDED - HEAD, seed);
+        let addresses = settings.members.iter().filter(|(other, _)| *other != name);
+        let addresses = addresses.map(|(name, address)| (name.clone(), *address)).collect();
+        let peers = Peers::new(
+            me,
+            addresses,
+            settings.probe_interval,
+            LONGEST - ADDED - MAX_GOSSIP_HEADER_BYTES,
+            seed,
+        );
         let (tasks, max_hold, account_interval) =
             (settings.tasks, settings.max_hold, settings.account_interval);
         let task_settings = TaskSettings { tasks, max_hold, account_interval };
         let member = Member::new(clock.now(), peers, &settings.voters, voter, terms, task_settings);
         let socket = UdpSocket::bind(settings.listen).await;
         let socket = socket
-            .map_err(|e| said(format!("listen {}: {e}; give an address that is free", settings.listen)))?;
-        let (orders, heard) = unbounded_channel();
-        let board = Rc::new(StatusBoard { text: RefCell::default(), zones: RefCell::default(), orders });
+            .map_err(|e| error(format!("listen {}: {e}; give an address that is free", settings.listen)))?;
+        let (commands, command_receiver) = unbounded_channel();
+        let board = Rc::new(StatusBoard { text: RefCell::default(), zones: RefCell::default(), commands });
         tracing::info!("{name} is in the group at {}", settings.listen);
-        let kept = kept_notify;
+        let storage_progress = storage_notify;
         let group = Group {
             member,
-            kept,
+            storage_progress,
             socket,
             seal,
             clock,
-            orders: heard,
+            commands: command_receiver,
             board: board.clone(),
             #[cfg(feature = "failpoints")]
             stop_before_act: StopBeforeAct::from_env(),
-            tells: None,
+            digest_interval: None,
         };
         Ok((group, board))
     }
 
-    /// Zones by a plan, made of these zones and classes, the worthiest first.
+    /// Enables plans for these zones and classes, the classes in descending order of worth.
     pub fn enable_zone_plans(&mut self, terms: &Terms, zones: &[String], classes: Vec<String>) {
-        self.tells = Some(terms.tell);
+        self.digest_interval = Some(terms.tell);
         self.member.set_planner(Planner::new(terms.clone(), zones.to_vec(), classes));
     }
 
-    /// Goes on until the program ends.
+    /// Runs until the member leaves the group.
     pub async fn run(mut self, broker: Rc<Broker>) {
         let operations = Operations::new(broker.clone());
         let mut buffer = [0; 2 * LONGEST];
-        let (mut unsealed, mut shown, mut counted, mut told) = (0u64, 0, 0, 0);
-        let mut turned = self.clock.now();
+        let (mut rejected, mut last_status, mut last_report, mut last_digest) = (0u64, 0, 0, 0);
+        let mut last_tick = self.clock.now();
         loop {
             tokio::select! {
                 biased;
-                order = self.orders.recv() => {
+                command = self.commands.recv() => {
                     let now = self.clock.now();
-                    match order {
+                    match command {
                         Some(OperatorCommand::StepDown) => drop(self.member.step_down()),
                         Some(OperatorCommand::ReleaseTasks) => self.member.release_all_tasks(now),
                         Some(OperatorCommand::Zone(zone, wish, lasts)) => self.member.order_zone(&zone, wish, lasts),
                         Some(OperatorCommand::LeaveGroup) => {
                             self.member.leave(now);
                             self.send_messages();
-                            self.tell(&broker);
+                            self.process_events(&broker);
                             return;
                         }
                         None => return,
                     }
                 }
                 _ = self.socket.readable() => {
-                    // All that has come: a voter hands its storage one write a turn, and clients wait for the turn.
-                    for _ in 0..BATCH {
+                    // Reads all datagrams that have arrived: a voter submits one write a tick, so fewer ticks mean fewer writes.
+                    for _ in 0..MAX_DATAGRAMS_PER_TICK {
                         let n = match self.socket.try_recv_from(&mut buffer) {
                             Ok((n, _)) => n,
                             Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                            // A word of the network on an earlier datagram, and nothing to us.
+                            // An ICMP error for an earlier datagram: the loss is handled like any other.
                             Err(_) => continue,
                         };
                         match self.seal.open(&buffer[..n]) {
-                            Some(words) => self.member.receive(self.clock.now(), words),
+                            Some(message) => self.member.receive(self.clock.now(), message),
                             None => {
-                                unsealed += 1;
-                                if unsealed.is_power_of_two() {
-                                    tracing::warn!("group: {unsealed} datagrams were not under our key");
+                                rejected += 1;
+                                if rejected.is_power_of_two() {
+                                    tracing::warn!("group: {rejected} datagrams failed authentication under the group key");
                                 }
                             }
                         }
                     }
                 }
-                () = self.kept.notified() => {}
-                () = tokio::time::sleep(TURN) => {}
+                () = self.storage_progress.notified() => {}
+                () = tokio::time::sleep(TICK_INTERVAL) => {}
             }
             let now = self.clock.now();
-            let since_last_turn_us = now.saturating_sub(turned);
-            if since_last_turn_us > LATE_TURN {
-                tracing::warn!(since_last_turn_us, "group: a turn came late");
+            let since_last_turn_us = now.saturating_sub(last_tick);
+            if since_last_turn_us > LATE_TICK_THRESHOLD {
+                tracing::warn!(since_last_turn_us, "group: a tick came late");
             }
-            turned = now;
+            last_tick = now;
             self.member.set_draining(now, !operations.ready());
-            if now >= counted + REPORT {
-                counted = now;
+            if now >= last_report + USAGE_REPORT_INTERVAL {
+                last_report = now;
                 let rows = broker.contracts(|contracts| contracts.rows(broker.now())).unwrap_or_default();
                 self.member.report_usage(now, &rows);
             }
-            if let Some(digest) = self.tells.filter(|every| now >= told + every).and_then(|_| broker.digest())
+            if let Some(digest) =
+                self.digest_interval.filter(|every| now >= last_digest + every).and_then(|_| broker.digest())
             {
-                told = now;
+                last_digest = now;
                 self.member.report_digest(now, digest);
             }
             self.member.tick(now);
@@ -281,34 +288,34 @@
                 self.stop_before_act.reached();
             }
             self.send_messages();
-            self.tell(&broker);
-            if self.tells.is_some() {
+            self.process_events(&broker);
+            if self.digest_interval.is_some() {
                 broker.follow(self.member.record().plan.as_ref());
             }
-            if now >= shown + SHOWN {
-                shown = now;
+            if now >= last_status + STATUS_INTERVAL {
+                last_status = now;
                 *self.board.text.borrow_mut() = self.member.status_text(now);
-                if self.tells.is_some() {
+                if self.digest_interval.is_some() {
                     *self.board.zones.borrow_mut() = self.member.zone_status_text(now);
                 }
             }
-            // Else it would go on for as long as datagrams come, up to the runtime's own bound, before a client is looked at.
+            // Without this a stream of datagrams would delay clients until the runtime's own limit forces a yield.
             tokio::task::yield_now().await;
         }
     }
 
     fn send_messages(&mut self) {
-        while let Some((to, words)) = self.member.next_message(self.clock.now()) {
-            if let Some(datagram) = self.seal.seal(&words) {
-                // What finds no room is lost like any other datagram.
+        while let Some((to, message)) = self.member.next_message(self.clock.now()) {
+            if let Some(datagram) = self.seal.seal(&message) {
+                // A datagram that the socket buffer cannot take is lost like any other.
                 let _ = self.socket.try_send_to(&datagram, to);
             } else {
-                tracing::error!("group: {} bytes are too long for a datagram", words.len());
+                tracing::error!("group: a message of {} bytes exceeds one datagram", message.len());
             }
         }
     }
 
-    fn tell(&mut self, broker: &Broker) {
+    fn process_events(&mut self, broker: &Broker) {
         loop {
             let Reading { boottime, now } = self.clock.read();
             let Some(event) = self.member.next_event(now) else { break };
@@ -317,8 +324,8 @@
         self.extend_rebalancing(broker);
     }
 
-    /// Has the broker rebalance for as long as the lease lasts, by the broker's clock. That clock is read first: what passes between
-    /// the two readings shortens the time and never lengthens it.
+    /// Allows the broker to rebalance for as long as the lease lasts, by the broker's clock. That clock is read first, so that the
+    /// time between the two readings shortens the allowance and never lengthens it.
     fn extend_rebalancing(&self, broker: &Broker) {
         let broker_now = broker.now();
         let left = self.member.lease_left(self.clock.now(), REBALANCE_TASK);
@@ -326,11 +333,11 @@
     }
 }
 
-/// Logs an event; `us` is the reading of the clock by which it was allowed, in microseconds.
+/// Logs an event; `us` is the machine's time in microseconds at which the event was allowed.
 fn log_event(event: Event, us: Micros) {
     match event {
-        Event::PeerChanged(peers::Note::Up(name)) => tracing::info!("group: {name} is there"),
-        Event::PeerChanged(peers::Note::Down(name)) => tracing::info!("group: {name} is gone"),
+        Event::PeerChanged(peers::Note::Up(name)) => tracing::info!("group: member {name} is up"),
+        Event::PeerChanged(peers::Note::Down(name)) => tracing::info!("group: member {name} is down"),
         Event::LeaseAcquired(task, token) => tracing::info!(us, "group: {task} is ours under token {token}"),
         Event::LeaseEnded(task, token) => {
             tracing::info!(us, "group: {task} is no longer ours under token {token}")
@@ -339,7 +346,9 @@
             let (task, token, holder) = (action.task, action.token, action.holder);
             tracing::debug!(target: "oakdeal::act", task, holder, token, us, passes, "act");
             if !passes {
-                tracing::warn!("group: an act of {holder} on {task} came late, under token {token}: refused");
+                tracing::warn!(
+                    "group: rejected an action of {holder} on {task}: token {token} is not the latest"
+                );
             }
         }
         Event::VotingStopped(e) => tracing::error!("group: votes no more: {e}"),
@@ -350,7 +359,7 @@
         Event::PlanProposed(plan) => {
             for (name, zone) in &plan.zones {
                 let (state, why, serial) = (zone.state.name(), &zone.why, plan.serial);
-                tracing::info!(serial, zone = name, state, why, "zones: planned");
+                tracing::info!(serial, zone = name, state, why, "zones: plan proposed");
             }
         }
         Event::AccountPage(page) => {
--- a/src/group/writer.rs
+++ b/src/group/writer.rs
@@ -1,7 +1,7 @@
-//! A voter's storage on a thread of its own: a slow disk delays what the group decides, and never the clients.
+//! Storage of a voter on a thread of its own: a slow disk delays the group's decisions and never the clients.
 //!
-//! Invariant: writes are done in the order in which they were handed over, and counted as kept only when they are. After a write
-//! that failed none is done any more, and the voter is told.
+//! Invariant: writes are performed in the order of their submission, and are counted as kept only once they are durable. After
+//! a failed write no further one is performed, and [`Keep::kept`] returns the failure to the voter.
 
 use super::folder::{Keep, Save};
 use raft::eraftpb::{Entry, HardState, Snapshot};
@@ -10,7 +10,7 @@
 use std::thread;
 use tokio::sync::Notify;
 
-/// A write that was handed over.
+/// A submitted write.
 pub(super) struct Write {
     entries: Vec<Entry>,
     hard: Option<HardState>,
@@ -19,39 +19,42 @@
 }
 
 impl Write {
-    /// What is to be written, owned.
+    /// Returns an owned copy of what is to be written.
     pub fn from_save(save: &Save) -> Write {
         let Save { entries, hard, snapshot, anew } = *save;
         Write { entries: entries.to_vec(), hard: hard.cloned(), snapshot: snapshot.cloned(), anew }
     }
 
-    /// For the storage.
+    /// Returns the write as the storage takes it.
     pub fn as_save(&self) -> Save<'_> {
         let Write { entries, hard, snapshot, anew } = self;
         Save { entries, hard: hard.as_ref(), snapshot: snapshot.as_ref(), anew: *anew }
     }
 }
 
-/// Storage whose writes another thread does.
+/// Storage whose writes are performed by another thread.
 pub struct Writer {
     writes: Sender<Write>,
-    /// How many writes more are kept, each time.
+    /// Result of each batch: number of writes that have become durable.
     results: Receiver<Result<u64, String>>,
+    /// Number of writes that are durable.
     kept: u64,
+    /// Reason of the failed write, if any.
     failed: Option<String>,
 }
 
 impl Writer {
-    /// Has a thread write to this storage; `done` is notified after each write.
+    /// Starts the thread that writes to this storage; `done` is notified after each batch of writes.
     pub fn start(storage: impl Keep + Send + 'static, done: Arc<Notify>) -> std::io::Result<Writer> {
-        let ((writes, to_write), (told, results)) = (channel(), channel());
-        let write = move || write_all(storage, &to_write, &told, &done);
+        let ((writes, write_receiver), (result_sender, results)) = (channel(), channel());
+        let write = move || write_all(storage, &write_receiver, &result_sender, &done);
         thread::Builder::new().name("group-storage".into()).spawn(write)?;
         Ok(Writer { writes, results, kept: 0, failed: None })
     }
 }
 
-/// Writes until a write fails, or the voter is gone. All that waits is one write: a slow disk is not left behind by its voter.
+/// Writes until a write fails or the voter is dropped. All queued writes go into one batch, so that the queue of a slow disk does
+/// not grow without bound.
 fn write_all(
     mut storage: impl Keep,
     writes: &Receiver<Write>,
@@ -63,9 +66,9 @@
         let saves: Vec<Save> = batch.iter().map(Write::as_save).collect();
         let result = storage.save_all(&saves);
         let failed = result.is_err();
-        let voter_is_gone = results.send(result.map(|()| batch.len() as u64)).is_err();
+        let voter_dropped = results.send(result.map(|()| batch.len() as u64)).is_err();
         done.notify_one();
-        if failed || voter_is_gone {
+        if failed || voter_dropped {
             return;
         }
     }
@@ -73,7 +76,7 @@
 
 impl Keep for Writer {
     fn save(&mut self, save: Save) -> Result<(), String> {
-        // Where the thread has ended after a failure the reason is told by `kept`.
+        // Fails only after the thread has ended on a failure, which `kept` returns.
         let _ = self.writes.send(Write::from_save(&save));
         Ok(())
     }
@@ -81,13 +84,13 @@
     fn kept(&mut self, _: u64) -> Result<u64, String> {
         loop {
             match self.results.try_recv() {
-                Ok(Ok(more)) => self.kept += more,
-                Ok(Err(why)) => self.failed = Some(why),
+                Ok(Ok(written)) => self.kept += written,
+                Ok(Err(reason)) => self.failed = Some(reason),
                 Err(TryRecvError::Empty | TryRecvError::Disconnected) => break,
             }
         }
         match &self.failed {
-            Some(why) => Err(why.clone()),
+            Some(reason) => Err(reason.clone()),
             None => Ok(self.kept),
         }
     }
