--- a/src/cli/group.rs
+++ b/src/cli/group.rs
@@ -1,4 +1,4 @@
-//! `oakdeal group`: a voter's folder, and what a running process shows and is told.
+//! `oakdeal group`: creates a voter's folder, and shows or commands the group of a running process.
 
 use crate::group::folder::{Folder, Kept};
 use crate::operator::Operator;
@@ -8,60 +8,68 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What can be done.
+/// Maximum time to connect to an admin address.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum time to wait for the next bytes of an answer.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Sub-commands of `oakdeal group`.
 #[derive(Subcommand, Debug)]
 pub enum Group {
-    /// Makes a voter's folder, once, when the group is founded
+    /// Creates a voter's folder, once, when the group is founded
     Found {
-        /// The operator's file
+        /// Path of the operator's file
         #[arg(long, env = "OAKDEAL_OPERATOR", value_name = "FILE")]
         operator: PathBuf,
-        /// The voter, unless the file says its `name`
+        /// Name of the voter, unless the file has its `name`
         #[arg(long, env = "LB_NAME")]
         name: Option<String>,
-        /// The group is there already: it takes the place of this voter, of its own name where its folder was lost
+        /// Join an existing group in the place of this voter; the same name where its own folder was lost
         #[arg(long, value_name = "VOTER")]
         instead: Option<String>,
     },
-    /// Shows members, leader, record and leases as the process at this door sees them
+    /// Shows members, leader, record and leases as seen by the process at this admin address
     Show {
-        /// Its admin address
+        /// Admin address of the process
         admin: SocketAddr,
     },
-    /// Has another voter lead, if the one at this door does
+    /// Transfers leadership to another voter, if the process at this admin address leads
     StepDown {
-        /// Its admin address
+        /// Admin address of the process
         admin: SocketAddr,
     },
-    /// Has the process at this door give back the tasks that it holds
+    /// Makes the process at this admin address release the tasks that it holds
     GiveUp {
-        /// Its admin address
+        /// Admin address of the process
         admin: SocketAddr,
     },
 }
 
-/// Does it.
-pub fn run(call: Group) -> Result<(), String> {
-    match call {
+/// Runs a sub-command.
+pub fn run(command: Group) -> Result<(), String> {
+    match command {
         Group::Found { operator: path, name, instead } => {
             let operator = Operator::read(&path, true).map_err(|e| e.to_string())?;
-            let said = |what: &str| format!("{}: {what}", path.display());
+            let error = |what: &str| format!("{}: {what}", path.display());
             let group =
-                operator.group.ok_or_else(|| said("has no [group]: add it, docs/group.md shows how"))?;
-            let name = group.name.or(name).ok_or("whose folder? give --name")?;
+                operator.group.ok_or_else(|| error("has no [group]: add it, docs/group.md shows how"))?;
+            let name = group.name.or(name).ok_or("the voter has no name: give --name")?;
             if !group.voters.contains(&name) {
-                return Err(said(&format!("{name:?} is no voter: name one of {}", group.voters.join(", "))));
+                return Err(error(&format!(
+                    "{name:?} is not a voter: name one of {}",
+                    group.voters.join(", ")
+                )));
             }
             let folder = group
                 .folder
-                .ok_or_else(|| said("has no `folder` in [group]: add where the voter keeps its memory"))?;
-            let drawn = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |at| at.as_nanos() as u64);
+                .ok_or_else(|| error("has no `folder` in [group]: add the folder of the voter's storage"))?;
+            let unique_id = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |at| at.as_nanos() as u64);
             let kept = match &instead {
-                Some(instead) => Kept::joiner(&name, instead, drawn),
+                Some(instead) => Kept::joiner(&name, instead, unique_id),
                 None => Kept::founder(&name, &group.voters),
             };
             Folder::found(&folder, &name, &kept)?;
-            println!("{}: the memory of {name}, empty", folder.display());
+            println!("{}: created the storage of {name}, empty", folder.display());
             Ok(())
         }
         Group::Show { admin } => ask(admin, "GROUP"),
@@ -70,14 +78,14 @@
     }
 }
 
-/// Says a line at a door, and prints what it answers.
-pub fn ask(admin: SocketAddr, word: &str) -> Result<(), String> {
-    let told = |e: std::io::Error| format!("{admin}: {e}");
-    let mut door = TcpStream::connect_timeout(&admin, Duration::from_secs(5)).map_err(told)?;
-    door.set_read_timeout(Some(Duration::from_secs(10))).map_err(told)?;
-    door.write_all(format!("{word}\r\n").as_bytes()).map_err(told)?;
+/// Sends a command to an admin address and prints the lines of its answer.
+pub fn ask(admin: SocketAddr, command: &str) -> Result<(), String> {
+    let error = |e: std::io::Error| format!("{admin}: {e}");
+    let mut connection = TcpStream::connect_timeout(&admin, CONNECT_TIMEOUT).map_err(error)?;
+    connection.set_read_timeout(Some(READ_TIMEOUT)).map_err(error)?;
+    connection.write_all(format!("{command}\r\n").as_bytes()).map_err(error)?;
     let mut text = String::new();
-    door.read_to_string(&mut text).map_err(told)?;
+    connection.read_to_string(&mut text).map_err(error)?;
     let (first, rest) = text.split_once("\r\n").unwrap_or((&text, ""));
     if !first.starts_with("200 ") {
         return Err(format!("{admin}: {first}"));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Stories of what a group keeps: the fleet's account by one writer, and voters whose folders are lost, put back, or full.
+//! Tests of the stored state of a group with real processes: the fleet's account, and voters whose folders are lost, replaced or
+//! outdated.
 
 mod crowd;
 mod peers;
@@ -13,9 +14,9 @@
 
 const ALL: [usize; 5] = [0, 1, 2, 3, 4];
 
-fn group(name: &str, more: &str, format: &'static str) -> Group {
-    let group = Group::with(name, 5, echo("a", channel().0), &[], more, format);
-    group.until("all members", |g| ALL.iter().all(|&i| g.sees(i) == 5));
+fn start_group(name: &str, sections: &str, format: &'static str) -> Group {
+    let group = Group::with(name, 5, echo("a", channel().0), &[], sections, format);
+    group.until("all members", |group| ALL.iter().all(|&i| group.sees(i) == 5));
     group
 }
 
@@ -24,52 +25,52 @@
     rest.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
 }
 
-/// Guards against an account of the fleet that has two writers for a page, counts anything twice or loses it when its writer is
-/// killed in mid-task: what clients did is what the log of whoever wrote says, to the last request.
+/// Guards against a fleet's account in which a page has two writers, or counts are doubled or lost when the writer is killed while
+/// it writes: the logs of the writers have every request of the clients exactly once.
 #[test]
-fn the_account_of_the_fleet_is_whole_though_its_writer_is_killed() {
-    let more = crowd::contracts(200, &[("north", 100, ""), ("east", 100, "")]);
-    let mut g = group("account", &more, "json");
-    let mut stood = Vec::new();
-    let mut asked = BTreeMap::from([("north", 0u64), ("east", 0)]);
-    let mut round = |g: &Group, to: &[usize], n: usize| {
+fn the_account_of_the_fleet_is_complete_after_its_writer_is_killed() {
+    let teams = crowd::contracts(200, &[("north", 100, ""), ("east", 100, "")]);
+    let mut group = start_group("account", &teams, "json");
+    let mut clients = Vec::new();
+    let mut requests = BTreeMap::from([("north", 0u64), ("east", 0)]);
+    let mut open_clients = |group: &Group, to: &[usize], n: usize| {
         for &i in to {
             for team in ["north", "east"] {
                 for k in 0..n {
-                    let mut client = g.client(i);
+                    let mut client = group.client(i);
                     client.say(&format!("OPEN {team}-{i}-{k}-{n} 2 c=watch,d=2000,t={team}\r\n"));
                     assert_eq!(client.hear(), "UP 1");
-                    *asked.get_mut(team).unwrap() += 1;
-                    stood.push(client);
+                    *requests.get_mut(team).unwrap() += 1;
+                    clients.push(client);
                 }
             }
         }
-        asked.clone()
+        requests.clone()
     };
-    round(&g, &ALL, 3);
-    let ours = |line: &str| line.contains("account is ours under token");
-    g.logged(0, &|_, line| ours(line));
-    // Three whole pages with all five in them; then whoever wrote them is killed.
-    let whole = |line: &str| line.contains("page of the account") && line.contains("\"missing\":\"\"");
-    let rows = |line: &str, n: u64| whole(line) && number(line, "rows") == n;
-    g.until("pages", |g| g.log().iter().filter(|(_, line)| rows(line, 10)).count() >= 3);
-    let log = g.log();
-    let writer = log.iter().rev().find(|(_, line)| ours(line)).unwrap().0;
-    // What it has counted by then is in a page; what comes after goes to others.
-    g.kill(writer);
-    let mark = g.mark();
+    open_clients(&group, &ALL, 3);
+    let is_takeover = |line: &str| line.contains("account is ours under token");
+    group.logged(0, &|_, line| is_takeover(line));
+    // After three complete pages with rows of all five processes their writer is killed.
+    let is_complete = |line: &str| line.contains("page of the account") && line.contains("\"missing\":\"\"");
+    let has_rows = |line: &str, n: u64| is_complete(line) && number(line, "rows") == n;
+    group.until("pages", |group| group.log().iter().filter(|(_, line)| has_rows(line, 10)).count() >= 3);
+    let log = group.log();
+    let writer = log.iter().rev().find(|(_, line)| is_takeover(line)).unwrap().0;
+    // Its counts are in a page by now; later clients go to the other processes.
+    group.kill(writer);
+    let mark = group.mark();
     let others: Vec<usize> = ALL.into_iter().filter(|&i| i != writer).collect();
-    let asked = round(&g, &others, 2);
-    g.logged(mark, &|i, line| i != writer && ours(line));
-    g.run(writer);
-    let back = g.mark();
-    // A page that was begun after all had reported, whoever writes it.
+    let requests = open_clients(&group, &others, 2);
+    group.logged(mark, &|i, line| i != writer && is_takeover(line));
+    group.run(writer);
+    let restarted = group.mark();
+    // Waits for a page that was started after all processes had reported.
     thread::sleep(Duration::from_millis(1_500));
-    g.logged(back, &|_, line| whole(line));
-    let last = g.mark();
-    g.logged(last, &|_, line| whole(line));
+    group.logged(restarted, &|_, line| is_complete(line));
+    let after_reports = group.mark();
+    group.logged(after_reports, &|_, line| is_complete(line));
 
-    let log = g.log();
+    let log = group.log();
     let pages: Vec<(usize, u64, u64)> = log
         .iter()
         .filter(|(_, line)| line.contains("page of the account"))
@@ -78,7 +79,7 @@
     let numbers: BTreeSet<u64> = pages.iter().map(|page| page.1).collect();
     assert_eq!(numbers.len(), pages.len(), "a page has one writer: {pages:?}");
     assert!(pages.iter().map(|page| page.0).collect::<BTreeSet<_>>().len() >= 2, "{pages:?}");
-    // Only those who wrote pages are read: what they wrote of others is all there is of them.
+    // Only the logs of writers are read: their pages hold the counts of all other processes.
     let writers: BTreeSet<usize> = pages.iter().map(|page| page.0).collect();
     let file = std::env::temp_dir().join(format!("oakdeal-fleet-account-{}.log", std::process::id()));
     let text: Vec<&str> = log.iter().filter(|(i, _)| writers.contains(i)).map(|(_, line)| &**line).collect();
@@ -91,71 +92,71 @@
     std::fs::remove_file(file).unwrap();
     let table = String::from_utf8(out.stdout).unwrap();
     println!("{} pages by {writers:?}\n{table}", pages.len());
-    for (team, asked) in asked {
+    for (team, count) in requests {
         let row = table.lines().find(|line| line.contains(&format!(" {team} "))).unwrap();
-        assert_eq!(row.split_whitespace().nth(1), Some(&*asked.to_string()), "{team}: {row}");
+        assert_eq!(row.split_whitespace().nth(1), Some(&*count.to_string()), "{team}: {row}");
     }
 }
 
-/// Guards against a voter that cannot be replaced while the group runs, an older copy of a folder that votes, and one on another
-/// machine under a name that is taken.
+/// Guards against a voter whose lost folder cannot be replaced while the group runs, against a vote by an older copy of a folder,
+/// and against a vote by another machine under a name that is taken.
 #[test]
-fn a_lost_folder_is_replaced_while_the_group_runs_and_an_old_one_is_refused() {
-    let mut g = group("folders", "", "text");
-    let (holder, _) = g.taken(0);
-    // A voter that is not the holder loses its disk: without a folder it serves and does not vote; with a new one it does.
+fn a_lost_folder_can_be_replaced_at_runtime_and_an_outdated_one_is_rejected() {
+    let mut group = start_group("folders", "", "text");
+    let (holder, _) = group.taken(0);
+    // A voter that is not the holder loses its folder: without one it serves and does not vote; with a new one it votes.
     let lost = (0..3).find(|&i| i != holder).unwrap();
-    g.kill(lost);
-    let copy = g.folder(lost).with_extension("copy");
-    std::fs::rename(g.folder(lost), &copy).unwrap();
-    let mark = g.mark();
-    g.run(lost);
-    g.logged(mark, &|i, line| i == lost && line.contains("does not vote"));
-    g.kill(lost);
-    g.found(lost, Some(lost));
-    g.run(lost);
-    let seated = |g: &Group, i: usize| g.show(i).lines().any(|line| line == "place ours");
-    let took = g.until("the place", |g| seated(g, lost));
-    println!("a new folder has its place after {took:?}");
-    // Its vote counts: another voter is killed, and the task still finds a holder.
+    group.kill(lost);
+    let copy = group.folder(lost).with_extension("copy");
+    std::fs::rename(group.folder(lost), &copy).unwrap();
+    let mark = group.mark();
+    group.run(lost);
+    group.logged(mark, &|i, line| i == lost && line.contains("does not vote"));
+    group.kill(lost);
+    group.found(lost, Some(lost));
+    group.run(lost);
+    let seated = |group: &Group, i: usize| group.show(i).lines().any(|line| line == "place ours");
+    let took = group.until("the seat", |group| seated(group, lost));
+    println!("a new folder has its seat after {took:?}");
+    // Its vote counts: another voter is killed, and the task still gets a holder.
     let other = (0..3).find(|&i| i != lost && i != holder).unwrap_or(3 - lost);
-    g.kill(other);
-    let mark = g.mark();
-    (0..5).filter(|&i| i != other).for_each(|i| drop(g.call(i, "GIVEUP")));
-    let (_, took) = g.taken(mark);
+    group.kill(other);
+    let mark = group.mark();
+    (0..5).filter(|&i| i != other).for_each(|i| drop(group.call(i, "GIVEUP")));
+    let (_, took) = group.taken(mark);
     println!("with the new folder's vote a holder after {took:?}");
-    g.run(other);
-    g.until("all", |g| ALL.iter().all(|&i| g.sees(i) == 5));
-    // The old folder comes back, as on another machine under its name: it has no place, and says so.
-    g.kill(lost);
-    let new = g.folder(lost).with_extension("new");
-    std::fs::rename(g.folder(lost), &new).unwrap();
-    std::fs::rename(&copy, g.folder(lost)).unwrap();
-    let mark = g.mark();
-    g.run(lost);
-    g.logged(mark, &|i, line| i == lost && line.contains("votes no more: another has its place"));
-    // The new one again, then an older copy of it.
-    g.kill(lost);
-    std::fs::remove_dir_all(g.folder(lost)).unwrap();
-    let older = g.folder(lost).with_extension("older");
+    group.run(other);
+    group.until("all members", |group| ALL.iter().all(|&i| group.sees(i) == 5));
+    // The old folder is used again, as by another machine under the same name: it has no seat, which is logged.
+    group.kill(lost);
+    let new = group.folder(lost).with_extension("new");
+    std::fs::rename(group.folder(lost), &new).unwrap();
+    std::fs::rename(&copy, group.folder(lost)).unwrap();
+    let mark = group.mark();
+    group.run(lost);
+    group.logged(mark, &|i, line| i == lost && line.contains("votes no more: another has its place"));
+    // The new folder is used again, and then an older copy of it.
+    group.kill(lost);
+    std::fs::remove_dir_all(group.folder(lost)).unwrap();
+    let older = group.folder(lost).with_extension("older");
     copy_folder(&new, &older);
-    std::fs::rename(&new, g.folder(lost)).unwrap();
-    g.run(lost);
-    g.until("the place", |g| seated(g, lost));
-    let mark = g.mark();
-    (0..5).for_each(|i| drop(g.call(i, "GIVEUP")));
-    g.taken(mark);
+    std::fs::rename(&new, group.folder(lost)).unwrap();
+    group.run(lost);
+    group.until("the seat", |group| seated(group, lost));
+    let mark = group.mark();
+    (0..5).for_each(|i| drop(group.call(i, "GIVEUP")));
+    group.taken(mark);
     thread::sleep(Duration::from_millis(2 * SPAN));
-    g.kill(lost);
-    std::fs::remove_dir_all(g.folder(lost)).unwrap();
-    std::fs::rename(&older, g.folder(lost)).unwrap();
-    let mark = g.mark();
-    g.run(lost);
-    g.logged(mark, &|i, line| i == lost && line.contains("its folder is an older copy"));
-    let mark = g.mark();
-    (0..5).for_each(|i| drop(g.call(i, "GIVEUP")));
-    g.taken(mark);
-    assert_eq!(check(&g.acts()), Vec::<String>::new());
+    group.kill(lost);
+    std::fs::remove_dir_all(group.folder(lost)).unwrap();
+    std::fs::rename(&older, group.folder(lost)).unwrap();
+    let mark = group.mark();
+    group.run(lost);
+    group.logged(mark, &|i, line| i == lost && line.contains("its folder is an older copy"));
+    let mark = group.mark();
+    (0..5).for_each(|i| drop(group.call(i, "GIVEUP")));
+    group.taken(mark);
+    assert_eq!(check(&group.acts()), Vec::<String>::new());
 }
 
 fn copy_folder(from: &std::path::Path, to: &std::path::Path) {
