--- a/src/cli/group.rs
+++ b/src/cli/group.rs
@@ -72,14 +72,14 @@
             println!("{}: created the storage of {name}, empty", folder.display());
             Ok(())
         }
-        Group::Show { admin } => ask(admin, "GROUP"),
-        Group::StepDown { admin } => ask(admin, "STEPDOWN"),
-        Group::GiveUp { admin } => ask(admin, "GIVEUP"),
+        Group::Show { admin } => send_admin_command(admin, "GROUP"),
+        Group::StepDown { admin } => send_admin_command(admin, "STEPDOWN"),
+        Group::GiveUp { admin } => send_admin_command(admin, "GIVEUP"),
     }
 }
 
 /// Sends a command to an admin address and prints the lines of its answer.
-pub fn ask(admin: SocketAddr, command: &str) -> Result<(), String> {
+pub fn send_admin_command(admin: SocketAddr, command: &str) -> Result<(), String> {
     let error = |e: std::io::Error| format!("{admin}: {e}");
     let mut connection = TcpStream::connect_timeout(&admin, CONNECT_TIMEOUT).map_err(error)?;
     connection.set_read_timeout(Some(READ_TIMEOUT)).map_err(error)?;
--- a/src/cli/zones.rs
+++ b/src/cli/zones.rs
@@ -1,6 +1,6 @@
 //! `oakdeal zones`: what the fleet's plan for zones says, an operator's word on a zone, and what the planner would have done.
 
-use super::group::ask;
+use super::group::send_admin_command;
 use crate::config::Config;
 use crate::failover::evidence::Digest;
 use crate::failover::plan::{Plan, Planner};
@@ -69,12 +69,14 @@
 pub fn run(call: Zones) -> Result<(), String> {
     let seconds = |span: humantime::Duration| span.as_secs().max(1);
     match call {
-        Zones::Show { admin } => ask(admin, "ZONES"),
+        Zones::Show { admin } => send_admin_command(admin, "ZONES"),
         Zones::Evacuate { admin, zone, over, lasts } => {
-            ask(admin, &format!("EVACUATE {zone} {} {}", seconds(over), seconds(lasts)))
+            send_admin_command(admin, &format!("EVACUATE {zone} {} {}", seconds(over), seconds(lasts)))
         }
-        Zones::Hold { admin, zone, lasts } => ask(admin, &format!("HOLD {zone} {}", seconds(lasts))),
-        Zones::Release { admin, zone } => ask(admin, &format!("RELEASE {zone}")),
+        Zones::Hold { admin, zone, lasts } => {
+            send_admin_command(admin, &format!("HOLD {zone} {}", seconds(lasts)))
+        }
+        Zones::Release { admin, zone } => send_admin_command(admin, &format!("RELEASE {zone}")),
         Zones::Plan { what_if: record, operator, config } => what_if(&record, &operator, &config),
     }
 }
--- a/src/group/holder_tasks.rs
+++ b/src/group/holder_tasks.rs
@@ -14,7 +14,7 @@
 
 /// Log target of the line for each plan that is proposed.
 const PROPOSALS_TARGET: &str = "oakdeal::proposals";
-/// Maximum number of rows in one report, which keeps a report within few datagrams.
+/// Maximum number of rows in one usage report; further rows go in further reports.
 const MAX_ROWS_PER_REPORT: usize = 32;
 
 impl<K: Keep> Member<K> {
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -224,10 +224,10 @@
 
     /// Requests the record from a member that announced this version, if it is newer than the one known here.
     fn request_newer_record(&mut self, now: Micros, from: &str, version: u64) {
-        let mine = self.record().version;
-        if version > mine && now >= self.last_record_request + RECORD_REQUEST_INTERVAL {
+        let own_version = self.record().version;
+        if version > own_version && now >= self.last_record_request + RECORD_REQUEST_INTERVAL {
             self.last_record_request = now;
-            self.request_from(from, RequestBody::RecordNewerThan(mine), None);
+            self.request_from(from, RequestBody::RecordNewerThan(own_version), None);
         }
     }
 
