--- a/src/group/writer.rs
+++ b/src/group/writer.rs
@@ -1,7 +1,7 @@
-//! A voter's storage on a thread of its own: a slow disk delays what the group decides, and never the clients.
+//! Storage of a voter on a thread of its own: a slow disk delays the group's decisions and never the clients.
 //!
-//! Invariant: writes are done in the order in which they were handed over, and counted as kept only when they are. After a write
-//! that failed none is done any more, and the voter is told.
+//! Invariant: writes are performed in the order of their submission, and are counted as kept only once they are durable. After
+//! a failed write no further one is performed, and [`Keep::kept`] returns the failure to the voter.
 
 use super::folder::{StorageUpdate, VoterStorage};
 use raft::eraftpb::{Entry, HardState, Snapshot};
@@ -10,7 +10,7 @@
 use std::thread;
 use tokio::sync::Notify;
 
-/// A write that was handed over.
+/// A submitted write.
 pub(super) struct Write {
     entries: Vec<Entry>,
     hard_state: Option<HardState>,
@@ -19,7 +19,7 @@
 }
 
 impl Write {
-    /// What is to be written, owned.
+    /// Returns an owned copy of what is to be written.
     pub fn from_save(save: &StorageUpdate) -> Write {
         let StorageUpdate { entries, hard_state, snapshot, reset_log } = *save;
         Write {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// For the storage.
+    /// Returns the write as the storage takes it.
     pub fn as_save(&self) -> StorageUpdate<'_> {
         let Write { entries, hard_state, snapshot, reset_log } = self;
         StorageUpdate {
@@ -42,26 +42,29 @@
     }
 }
 
-/// Storage whose writes another thread does.
+/// Storage whose writes are performed by another thread.
 pub struct Writer {
     writes: Sender<Write>,
-    /// How many writes more are kept, each time.
+    /// Result of each batch: number of writes that have become durable.
     results: Receiver<Result<u64, String>>,
+    /// Number of writes that are durable.
     kept: u64,
+    /// Reason of the failed write, if any.
     failed: Option<String>,
 }
 
 impl Writer {
-    /// Has a thread write to this storage; `done` is notified after each write.
+    /// Starts the thread that writes to this storage; `done` is notified after each batch of writes.
     pub fn start(storage: impl VoterStorage + Send + 'static, done: Arc<Notify>) -> std::io::Result<Writer> {
-        let ((writes, to_write), (told, results)) = (channel(), channel());
-        let write = move || write_all(storage, &to_write, &told, &done);
+        let ((writes, write_receiver), (result_sender, results)) = (channel(), channel());
+        let write = move || write_all(storage, &write_receiver, &result_sender, &done);
         thread::Builder::new().name("group-storage".into()).spawn(write)?;
         Ok(Writer { writes, results, kept: 0, failed: None })
     }
 }
 
-/// Writes until a write fails, or the voter is gone. All that waits is one write: a slow disk is not left behind by its voter.
+/// Writes until a write fails or the voter is dropped. All queued writes go into one batch, so that the queue of a slow disk does
+/// not grow without bound.
 fn write_all(
     mut storage: impl VoterStorage,
     writes: &Receiver<Write>,
@@ -73,9 +76,9 @@
         let saves: Vec<StorageUpdate> = batch.iter().map(Write::as_save).collect();
         let result = storage.save_all(&saves);
         let failed = result.is_err();
-        let voter_is_gone = results.send(result.map(|()| batch.len() as u64)).is_err();
+        let voter_dropped = results.send(result.map(|()| batch.len() as u64)).is_err();
         done.notify_one();
-        if failed || voter_is_gone {
+        if failed || voter_dropped {
             return;
         }
     }
@@ -83,7 +86,7 @@
 
 impl VoterStorage for Writer {
     fn save(&mut self, save: StorageUpdate) -> Result<(), String> {
-        // Where the thread has ended after a failure the reason is told by `kept`.
+        // Fails only after the thread has ended on a failure, which `kept` returns.
         let _ = self.writes.send(Write::from_save(&save));
         Ok(())
     }
@@ -91,13 +94,13 @@
     fn persisted(&mut self, _: u64) -> Result<u64, String> {
         loop {
             match self.results.try_recv() {
-                Ok(Ok(more)) => self.kept += more,
-                Ok(Err(why)) => self.failed = Some(why),
+                Ok(Ok(written)) => self.kept += written,
+                Ok(Err(reason)) => self.failed = Some(reason),
                 Err(TryRecvError::Empty | TryRecvError::Disconnected) => break,
             }
         }
         match &self.failed {
-            Some(why) => Err(why.clone()),
+            Some(reason) => Err(reason.clone()),
             None => Ok(self.kept),
         }
     }
