--- a/src/contracts/admission.rs
+++ b/src/contracts/admission.rs
@@ -1,190 +1,194 @@
-//! Who may hold how much of the room: the arithmetic of shares, kept as sums and two orders that each change
-//! mends in logarithmic time, so that a decision costs the same among 3 teams and among 10,000.
+//! Decides which team may hold how much of the capacity. The sums and the two orders behind a decision are updated in
+//! logarithmic time at each change, so a decision costs nearly the same among 3 teams as among 10,000.
 //!
-//! The laws:
-//! - A team under its contract is let in while anything at all is free.
-//! - One at or over it is let in while, after it, the room still holds what everybody holds and what is *kept*
-//!   for the others: for each team what it holds and waits for, and a twentieth of its contract beside, never
-//!   more than the contract. What was kept stays kept until the team has not asked for a while.
-//! - Of two that borrow, the one with less for its weight comes first (weighted max-min fairness).
-//! - A connection is asked to move when an owner waits for room, when its team may not borrow and is over, or
-//!   when another borrower waits that would still hold less for its weight afterwards, by a tenth: in that order,
-//!   and only of teams over their contract. Room that shrinks moves nobody by itself: who leaves an instance
-//!   that is too full is the decision module's choice.
+//! Rules:
+//! - A team under its contract is admitted while any capacity is free.
+//! - A team at or over its contract is admitted while, after it, the capacity still covers what every team holds and
+//!   what is *reserved* for the others: for each team, what it holds and waits for, and a twentieth of its contract
+//!   in addition, never more than the contract. A reservation stays until the team has not asked for a while.
+//! - Of two borrowers, the one that has borrowed less relative to its weight comes first (weighted max-min fairness).
+//! - A connection is asked to move when a team within its contract waits for room, when its own team may not borrow
+//!   and is over its contract, or when another borrower waits that would still have borrowed less relative to its
+//!   weight after the move, by a tenth. The three causes apply in that order, and only to teams over their contract.
+//!   A smaller capacity moves no connection by itself: the decision module chooses what leaves an overfull instance.
 
 use super::ledger::Reason;
 use crate::api::Micros;
 use std::collections::BTreeSet;
 
-/// The part of its contract that is kept for a team beyond what it holds, so that it finds room when it comes
-/// back. More leaves more unused, less makes it wait for moves.
-pub const KEEP: f64 = 0.05;
-/// Between two borrowers one is moved only if the other would still hold this much less: without it two at
-/// their edge would push each other in turn.
-const BAND: f64 = 0.1;
-/// Room that nothing bounds.
-pub const UNBOUNDED: u64 = u64::MAX / 4;
+/// The part of the contract that is reserved for a team beyond what it holds and waits for (unitless), so that the
+/// team finds room when its clients return. A larger part leaves more capacity unused, a smaller one makes clients
+/// wait for moves.
+pub const RESERVE_BEYOND_HELD: f64 = 0.05;
+/// A connection of one borrower is moved for another only if the other would still have borrowed less by this part
+/// (unitless). Without it, two borrowers with nearly equal shares would displace each other in turn.
+const MOVE_HYSTERESIS: f64 = 0.1;
+/// The capacity where nothing bounds it, in connections.
+pub const UNBOUNDED_CAPACITY: u64 = u64::MAX / 4;
+/// Units of [`Share::borrowed_per_weight`] for one borrowed connection at weight 1: whole numbers order exactly.
+const BORROWED_SCALE: f64 = 1e6;
 
-/// A team's place in the room; its number among them.
+/// The number of a team in the [`SharePool`].
 pub type TeamId = usize;
 
-/// What one team holds, may hold and waits for.
+/// What a team holds, may hold and waits for.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Share {
-    /// Connections and attempts.
+    /// Connections and attempts that the team holds.
     pub held: u32,
-    /// Of them, those that were asked to move and have not ended.
+    /// Of `held`, those that were asked to move and have not ended.
     pub leaving: u32,
-    /// What its contract allows now.
+    /// Connections that the contract allows now.
     pub contract: u32,
-    /// What is kept for it.
-    pub kept: u32,
-    /// Requests of it that were refused for want of room and may come again.
+    /// Connections reserved for the team, including those that it holds.
+    pub reserved: u32,
+    /// Requests of the team that were refused for lack of capacity and may be retried.
     pub waiting: u32,
-    /// Its weight among borrowers.
+    /// Weight of the team among borrowers.
     pub weight: f64,
-    /// Whether it may hold more than its contract.
-    pub borrows: bool,
-    /// When it last asked.
-    pub asked: Micros,
+    /// Whether the team may hold more than its contract.
+    pub may_borrow: bool,
+    /// When the team last asked for a connection.
+    pub last_request: Micros,
 }
 
 impl Share {
-    /// What stays once all that were asked to move have gone.
-    fn there(&self) -> u32 {
+    /// Returns the number of connections held once all that were asked to move have ended.
+    fn held_after_moves(&self) -> u32 {
         self.held - self.leaving
     }
 
-    fn over(&self) -> u32 {
-        self.there().saturating_sub(self.contract)
+    fn over_contract(&self) -> u32 {
+        self.held_after_moves().saturating_sub(self.contract)
     }
 
-    /// Owners' requests that wait for room within the contract.
-    fn wanted(&self) -> u32 {
+    /// Returns the number of waiting requests that fit within the contract.
+    fn waiting_within_contract(&self) -> u32 {
         self.waiting.min(self.contract.saturating_sub(self.held))
     }
 
-    fn hungry(&self) -> bool {
-        self.waiting > 0 && self.borrows && self.held >= self.contract
+    fn waits_to_borrow(&self) -> bool {
+        self.waiting > 0 && self.may_borrow && self.held >= self.contract
     }
 
-    /// What ought to be kept for it.
-    pub fn aim(&self) -> u32 {
-        let beside = (f64::from(self.contract) * KEEP).ceil() as u32;
-        self.contract.min(self.held.saturating_add(self.waiting).saturating_add(beside))
+    /// Returns the number of connections that should be reserved for the team.
+    pub fn reservation_target(&self) -> u32 {
+        let margin = (f64::from(self.contract) * RESERVE_BEYOND_HELD).ceil() as u32;
+        self.contract.min(self.held.saturating_add(self.waiting).saturating_add(margin))
     }
 
-    /// How much it has borrowed for its weight, if that were so much more, in millionths.
-    fn level(&self, more: u64) -> u64 {
-        let over = u64::from(self.held.saturating_sub(self.contract).saturating_sub(self.leaving)) + more;
-        (over as f64 * 1e6 / self.weight) as u64
+    /// Returns the borrowed connections plus `additional`, divided by the weight, in [`BORROWED_SCALE`] units.
+    fn borrowed_per_weight(&self, additional: u64) -> u64 {
+        let over =
+            u64::from(self.held.saturating_sub(self.contract).saturating_sub(self.leaving)) + additional;
+        (over as f64 * BORROWED_SCALE / self.weight) as u64
     }
 }
 
-/// The room and all shares in it.
+/// The capacity and the shares of all teams in it.
 #[derive(Debug, Default)]
 pub struct SharePool {
     capacity: u64,
     shares: Vec<Share>,
     held: u64,
     leaving: u64,
-    /// What everybody holds or has kept for it.
+    /// Sum over all teams of what is held or reserved, whichever is more.
     committed: u64,
-    wanted: u64,
+    waiting_within_contract: u64,
     borrowers: BTreeSet<(u64, TeamId)>,
-    hungry: BTreeSet<(u64, TeamId)>,
-    /// Over their contract though they may not borrow.
-    forced: BTreeSet<TeamId>,
+    waiting_borrowers: BTreeSet<(u64, TeamId)>,
+    /// Teams that are over their contract although they may not borrow.
+    over_without_borrowing: BTreeSet<TeamId>,
 }
 
 impl SharePool {
-    /// An empty one.
+    /// Creates an empty pool without a bound.
     pub fn new() -> SharePool {
-        SharePool { capacity: UNBOUNDED, ..SharePool::default() }
+        SharePool { capacity: UNBOUNDED_CAPACITY, ..SharePool::default() }
     }
 
-    /// One more team; its number.
+    /// Adds a team and returns its number.
     pub fn add(&mut self, share: Share) -> TeamId {
         self.shares.push(share);
         let team = self.shares.len() - 1;
-        self.enter(team);
+        self.add_to_totals(team);
         team
     }
 
-    /// A team's share.
+    /// Returns the share of a team.
     pub fn share(&self, team: TeamId) -> &Share {
         &self.shares[team]
     }
 
-    /// Connections and attempts of all.
+    /// Returns the connections and attempts that all teams hold.
     pub fn held(&self) -> u64 {
         self.held
     }
 
-    /// What it bears.
+    /// Returns the capacity in connections.
     pub fn capacity(&self) -> u64 {
         self.capacity
     }
 
-    /// It bears so much from now on.
-    pub fn bears(&mut self, capacity: u64) {
-        self.capacity = capacity.min(UNBOUNDED);
+    /// Sets the capacity in connections.
+    pub fn set_capacity(&mut self, capacity: u64) {
+        self.capacity = capacity.min(UNBOUNDED_CAPACITY);
     }
 
-    /// Changes a share; what is kept for it follows upwards at once, and downwards only with [`Room::lapse`].
-    pub fn edit(&mut self, team: TeamId, change: impl FnOnce(&mut Share)) {
-        self.leave(team);
+    /// Changes a share. The reservation rises at once and falls only with [`SharePool::release_reserve`].
+    pub fn update(&mut self, team: TeamId, change: impl FnOnce(&mut Share)) {
+        self.remove_from_totals(team);
         let share = &mut self.shares[team];
         change(share);
-        share.kept = share.kept.min(share.contract).max(share.aim());
-        self.enter(team);
+        share.reserved = share.reserved.min(share.contract).max(share.reservation_target());
+        self.add_to_totals(team);
     }
 
-    /// The team has not asked for a while: nothing waits, and what is kept for it is what ought to be.
-    pub fn lapse(&mut self, team: TeamId) {
-        self.leave(team);
+    /// Resets the waiting requests and the reservation of a team that has not asked for a while.
+    pub fn release_reserve(&mut self, team: TeamId) {
+        self.remove_from_totals(team);
         let share = &mut self.shares[team];
         share.waiting = 0;
-        share.kept = share.aim();
-        self.enter(team);
+        share.reserved = share.reservation_target();
+        self.add_to_totals(team);
     }
 
-    /// Whether something of a team's lapses if it does not ask.
-    pub fn lapses(&self, team: TeamId) -> bool {
+    /// Returns whether [`SharePool::release_reserve`] would change the share of a team.
+    pub fn has_releasable_reserve(&self, team: TeamId) -> bool {
         let share = &self.shares[team];
-        share.waiting > 0 || share.kept > share.aim()
+        share.waiting > 0 || share.reserved > share.reservation_target()
     }
 
-    fn leave(&mut self, team: TeamId) {
+    fn remove_from_totals(&mut self, team: TeamId) {
         let s = &self.shares[team];
         self.held -= u64::from(s.held);
         self.leaving -= u64::from(s.leaving);
-        self.committed -= u64::from(s.held.max(s.kept));
-        self.wanted -= u64::from(s.wanted());
-        self.borrowers.remove(&(s.level(0), team));
-        self.hungry.remove(&(s.level(0), team));
-        self.forced.remove(&team);
+        self.committed -= u64::from(s.held.max(s.reserved));
+        self.waiting_within_contract -= u64::from(s.waiting_within_contract());
+        self.borrowers.remove(&(s.borrowed_per_weight(0), team));
+        self.waiting_borrowers.remove(&(s.borrowed_per_weight(0), team));
+        self.over_without_borrowing.remove(&team);
     }
 
-    fn enter(&mut self, team: TeamId) {
+    fn add_to_totals(&mut self, team: TeamId) {
         let s = &self.shares[team];
         self.held += u64::from(s.held);
         self.leaving += u64::from(s.leaving);
-        self.committed += u64::from(s.held.max(s.kept));
-        self.wanted += u64::from(s.wanted());
-        if s.over() > 0 {
-            self.borrowers.insert((s.level(0), team));
-            if !s.borrows {
-                self.forced.insert(team);
+        self.committed += u64::from(s.held.max(s.reserved));
+        self.waiting_within_contract += u64::from(s.waiting_within_contract());
+        if s.over_contract() > 0 {
+            self.borrowers.insert((s.borrowed_per_weight(0), team));
+            if !s.may_borrow {
+                self.over_without_borrowing.insert(team);
             }
         }
-        if s.hungry() {
-            self.hungry.insert((s.level(0), team));
+        if s.waits_to_borrow() {
+            self.waiting_borrowers.insert((s.borrowed_per_weight(0), team));
         }
     }
 
-    /// Whether one more of a team may be let in; whether it borrows then.
-    pub fn judge(&self, team: TeamId) -> Result<bool, Reason> {
+    /// Decides whether one more connection of a team may be admitted, and returns whether it would be borrowed.
+    pub fn check_admission(&self, team: TeamId) -> Result<bool, Reason> {
         let s = &self.shares[team];
         if s.held < s.contract {
             return match self.held < self.capacity {
@@ -193,38 +197,42 @@
                 false => Err(Reason::Reclaim),
             };
         }
-        if !s.borrows {
+        if !s.may_borrow {
             return Err(Reason::Contract);
         }
         if self.committed >= self.capacity {
             return Err(Reason::Idle);
         }
-        let due = self.hungry.iter().map(|&(_, other)| other).find(|&other| other != team);
-        match due.is_some_and(|other| self.shares[other].level(1) <= s.level(0)) {
+        let next_borrower =
+            self.waiting_borrowers.iter().map(|&(_, other)| other).find(|&other| other != team);
+        match next_borrower
+            .is_some_and(|other| self.shares[other].borrowed_per_weight(1) <= s.borrowed_per_weight(0))
+        {
             true => Err(Reason::Share),
             false => Ok(true),
         }
     }
 
-    /// Moves that are still to be made before everybody who waits within a contract has room.
-    pub fn owed(&self) -> u64 {
-        if self.wanted == 0 {
+    /// Returns the number of moves still to be asked for before every request that waits within a contract has room.
+    pub fn moves_needed(&self) -> u64 {
+        if self.waiting_within_contract == 0 {
             return 0;
         }
-        (self.held + self.wanted).saturating_sub(self.leaving + self.capacity)
+        (self.held + self.waiting_within_contract).saturating_sub(self.leaving + self.capacity)
     }
 
-    /// Teams of which one is to be asked to move, the best first; empty where none is.
-    pub fn movers(&self) -> Vec<TeamId> {
-        // A few: the first may have nothing that stands yet.
-        const FEW: usize = 8;
-        if self.owed() > 0 {
-            return self.borrowers.iter().rev().map(|&(_, team)| team).take(FEW).collect();
+    /// Returns the teams of which a connection should be asked to move, the best candidate first.
+    pub fn move_candidates(&self) -> Vec<TeamId> {
+        // More than one, because the first may have no established connection yet.
+        const MAX_CANDIDATES: usize = 8;
+        if self.moves_needed() > 0 {
+            return self.borrowers.iter().rev().map(|&(_, team)| team).take(MAX_CANDIDATES).collect();
         }
-        if !self.forced.is_empty() {
-            return self.forced.iter().copied().take(FEW).collect();
+        if !self.over_without_borrowing.is_empty() {
+            return self.over_without_borrowing.iter().copied().take(MAX_CANDIDATES).collect();
         }
-        let (Some(&(_, least)), Some(&(_, most))) = (self.hungry.first(), self.borrowers.last()) else {
+        let (Some(&(_, least)), Some(&(_, most))) = (self.waiting_borrowers.first(), self.borrowers.last())
+        else {
             return Vec::new();
         };
         let (to, from) = (&self.shares[least], &self.shares[most]);
@@ -232,35 +240,37 @@
         if least == most || free >= u64::from(to.waiting) {
             return Vec::new();
         }
-        let step = (1e6 / from.weight) as u64;
-        let after = from.level(0).saturating_sub(step);
-        let band = ((from.level(0) as f64 * BAND) as u64).max(step);
-        match to.level(free + 1) + band <= after {
+        let step = (BORROWED_SCALE / from.weight) as u64;
+        let after = from.borrowed_per_weight(0).saturating_sub(step);
+        let margin = ((from.borrowed_per_weight(0) as f64 * MOVE_HYSTERESIS) as u64).max(step);
+        match to.borrowed_per_weight(free + 1) + margin <= after {
             true => vec![most],
             false => Vec::new(),
         }
     }
 
-    /// Whether the sums and orders are those of the shares: for tests.
+    /// Checks that the sums and orders match the shares. For tests.
     pub fn validate(&self) -> Result<(), String> {
         let mut sums = (0, 0, 0, 0);
         for (team, s) in self.shares.iter().enumerate() {
             sums.0 += u64::from(s.held);
             sums.1 += u64::from(s.leaving);
-            sums.2 += u64::from(s.held.max(s.kept));
-            sums.3 += u64::from(s.wanted());
-            let listed = self.borrowers.contains(&(s.level(0), team));
-            if listed != (s.over() > 0) || self.hungry.contains(&(s.level(0), team)) != s.hungry() {
-                return Err(format!("team {team} stands wrongly in an order: {s:?}"));
+            sums.2 += u64::from(s.held.max(s.reserved));
+            sums.3 += u64::from(s.waiting_within_contract());
+            let in_borrowers = self.borrowers.contains(&(s.borrowed_per_weight(0), team));
+            if in_borrowers != (s.over_contract() > 0)
+                || self.waiting_borrowers.contains(&(s.borrowed_per_weight(0), team)) != s.waits_to_borrow()
+            {
+                return Err(format!("team {team} is wrongly in or missing from an order: {s:?}"));
             }
-            if s.kept > s.contract || s.leaving > s.held {
+            if s.reserved > s.contract || s.leaving > s.held {
                 return Err(format!("team {team}: {s:?}"));
             }
         }
-        let kept = (self.held, self.leaving, self.committed, self.wanted);
-        match sums == kept {
+        let stored = (self.held, self.leaving, self.committed, self.waiting_within_contract);
+        match sums == stored {
             true => Ok(()),
-            false => Err(format!("sums {sums:?}, kept as {kept:?}")),
+            false => Err(format!("sums {sums:?}, stored as {stored:?}")),
         }
     }
 }
--- a/src/contracts/bucket.rs
+++ b/src/contracts/bucket.rs
@@ -1,139 +1,154 @@
-//! Two meters that fill with time: the rate of new connections, and the budget of connection seconds. Both are
-//! exact in whole units, so that no sum of many small steps drifts.
+//! Two meters that refill with time: a token bucket for the rate of new connections, and a meter for a budget of
+//! connection seconds. Both compute the elapsed time from whole microseconds, so many small updates give the same
+//! result as one large update, up to floating-point rounding.
 
 use super::contract::{Budget, Rate};
+use super::MICROS_PER_SECOND;
 use crate::api::Micros;
 
-/// A token bucket in the units of 1 token = 1,000,000 parts, filled by `rate` parts a microsecond (its source:
-/// J. Turner, "New directions in communications", 1986, there as the leaky bucket; here as a meter).
+/// How far below a whole token the level may be and still count as one, in tokens. Without it, rounding leaves the
+/// bucket short at the very time that [`TokenBucket::time_until_token`] returned.
+const TOKEN_TOLERANCE: f64 = 1e-9;
+
+/// A token bucket used as a meter (J. Turner, "New directions in communications", 1986, describes it as the leaky
+/// bucket).
 #[derive(Clone, Debug)]
-pub struct Tokens {
-    rate: f64,
-    most: f64,
-    level: f64,
-    at: Micros,
+pub struct TokenBucket {
+    tokens_per_us: f64,
+    burst: f64,
+    tokens: f64,
+    updated_at: Micros,
 }
 
-impl Tokens {
-    /// A full one.
-    pub fn new(now: Micros, rate: Rate) -> Tokens {
-        Tokens { rate: rate.per_second / 1e6, most: rate.burst, level: rate.burst, at: now }
+impl TokenBucket {
+    /// Creates a full bucket.
+    pub fn new(now: Micros, rate: Rate) -> TokenBucket {
+        TokenBucket {
+            tokens_per_us: rate.per_second / MICROS_PER_SECOND,
+            burst: rate.burst,
+            tokens: rate.burst,
+            updated_at: now,
+        }
     }
 
-    /// The same with other figures; what was in hand stays, as far as it fits.
-    pub fn changed(&mut self, now: Micros, rate: Rate) {
-        self.fill(now);
-        (self.rate, self.most) = (rate.per_second / 1e6, rate.burst);
-        self.level = self.level.min(self.most);
+    /// Changes the rate and the burst. Tokens in the bucket stay, up to the new burst.
+    pub fn set_rate(&mut self, now: Micros, rate: Rate) {
+        self.refill(now);
+        (self.tokens_per_us, self.burst) = (rate.per_second / MICROS_PER_SECOND, rate.burst);
+        self.tokens = self.tokens.min(self.burst);
     }
 
-    fn fill(&mut self, now: Micros) {
-        // A clock that stands still, or goes back, fills nothing.
-        self.level = (self.level + self.rate * now.saturating_sub(self.at) as f64).min(self.most);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Micros) {
+        // A clock that does not advance, or goes back, adds no tokens.
+        self.tokens =
+            (self.tokens + self.tokens_per_us * now.saturating_sub(self.updated_at) as f64).min(self.burst);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Whether a whole token is there.
-    pub fn there(&mut self, now: Micros) -> bool {
-        self.fill(now);
-        // A hair of room, or the time that was told as due finds it a rounding short.
-        self.level >= 1.0 - 1e-9
+    /// Returns whether a whole token is available.
+    pub fn has_token(&mut self, now: Micros) -> bool {
+        self.refill(now);
+        self.tokens >= 1.0 - TOKEN_TOLERANCE
     }
 
-    /// Takes a token, which may put it in debt by one.
+    /// Takes a token. The level may become negative, by one token at most.
     pub fn take(&mut self, now: Micros) {
-        self.fill(now);
-        self.level = (self.level - 1.0).max(-1.0);
+        self.refill(now);
+        self.tokens = (self.tokens - 1.0).max(-1.0);
     }
 
-    /// How long until a whole token is there.
-    pub fn wait(&mut self, now: Micros) -> Micros {
-        self.fill(now);
-        ((1.0 - self.level).max(0.0) / self.rate).ceil().min(Micros::MAX as f64) as Micros
+    /// Returns the time until a whole token is available.
+    pub fn time_until_token(&mut self, now: Micros) -> Micros {
+        self.refill(now);
+        ((1.0 - self.tokens).max(0.0) / self.tokens_per_us).ceil().min(Micros::MAX as f64) as Micros
     }
 }
 
-/// Connection-microseconds, kept as a level under the budget that fills as time passes and is drawn on by what
-/// is held within the contract.
+/// A budget of connection seconds: the level rises as time passes and falls with the connections that are held
+/// within the contract.
 ///
-/// The law: while anything is left, the contract is its `connections`. Once it is used up, the contract is what
-/// the budget earns as time passes (`seconds` over `per`, in connections), until a tenth of it is back. What is
-/// borrowed draws nothing.
+/// While anything is left, the contract is its `connections`. Once the budget is used up, the contract is what the
+/// budget earns as time passes (`seconds` over `period`, in connections), until [`RECOVERED_PART`] of it is
+/// available again. Borrowed connections use none of it.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct BudgetMeter {
     budget: Budget,
-    /// Of the fleet's, this balancer's part.
+    /// This balancer's part of the fleet's budget.
     part: f64,
+    /// Connection-microseconds left.
     level: f64,
-    at: Micros,
-    empty: bool,
+    updated_at: Micros,
+    exhausted: bool,
 }
 
-/// The part of a budget that must be back before the whole contract is: the hysteresis of a used-up one.
-pub const BACK: f64 = 0.1;
+/// The part of a used-up budget that must be available again before the whole contract applies (unitless): the
+/// hysteresis that keeps the contract from switching to and fro.
+pub const RECOVERED_PART: f64 = 0.1;
 
-impl Meter {
-    /// A full one.
-    pub fn new(now: Micros, budget: Budget, part: f64) -> Meter {
-        let level = budget.seconds * 1e6 * part;
-        Meter { budget, part, level, at: now, empty: false }
+impl BudgetMeter {
+    /// Creates a meter whose budget is unused.
+    pub fn new(now: Micros, budget: Budget, part: f64) -> BudgetMeter {
+        let level = budget.seconds * MICROS_PER_SECOND * part;
+        BudgetMeter { budget, part, level, updated_at: now, exhausted: false }
     }
 
-    /// The same under other figures; what was used of it stays used.
-    pub fn changed(&mut self, now: Micros, drawn: u32, budget: Budget, part: f64) {
-        self.flow(now, drawn);
-        let used = self.most() - self.level;
+    /// Changes the budget. What was used of the old budget counts as used of the new one.
+    pub fn set_budget(&mut self, now: Micros, drawing: u32, budget: Budget, part: f64) {
+        self.advance(now, drawing);
+        let used = self.size() - self.level;
         (self.budget, self.part) = (budget, part);
-        self.level = (self.most() - used).clamp(0.0, self.most());
-        self.empty = self.level <= 0.0 || (self.empty && self.level < self.most() * BACK);
+        self.level = (self.size() - used).clamp(0.0, self.size());
+        self.exhausted = self.level <= 0.0 || (self.exhausted && self.level < self.size() * RECOVERED_PART);
     }
 
-    fn most(&self) -> f64 {
-        self.budget.seconds * 1e6 * self.part
+    /// Returns the whole budget of this balancer, in connection-microseconds.
+    fn size(&self) -> f64 {
+        self.budget.seconds * MICROS_PER_SECOND * self.part
     }
 
-    /// Connections that it pays for without end here.
+    /// Returns the number of connections at this balancer that the budget pays for indefinitely.
     pub fn sustained_connections(&self) -> f64 {
         self.budget.sustained_connections() * self.part
     }
 
-    /// Time passes while so many connections draw on it.
-    pub fn flow(&mut self, now: Micros, drawn: u32) {
-        let span = now.saturating_sub(self.at) as f64;
-        self.at = self.at.max(now);
-        self.level =
-            (self.level + (self.sustained_connections() - f64::from(drawn)) * span).clamp(0.0, self.most());
-        // Within a microsecond of one connection it is empty: its end was computed in whole microseconds.
+    /// Advances to `now`, with `drawing` connections using the budget since the last update.
+    pub fn advance(&mut self, now: Micros, drawing: u32) {
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        self.updated_at = self.updated_at.max(now);
+        self.level = (self.level + (self.sustained_connections() - f64::from(drawing)) * elapsed)
+            .clamp(0.0, self.size());
+        // Less than one connection-microsecond counts as used up: `next_transition` rounds to whole microseconds.
         if self.level < 1.0 {
-            self.empty = true;
-        } else if self.level >= self.most() * BACK {
-            self.empty = false;
+            self.exhausted = true;
+        } else if self.level >= self.size() * RECOVERED_PART {
+            self.exhausted = false;
         }
     }
 
-    /// It is used up, and not enough of it is back.
-    pub fn empty(&self) -> bool {
-        self.empty
+    /// Returns whether the budget was used up and too little of it is available again.
+    pub fn is_exhausted(&self) -> bool {
+        self.exhausted
     }
 
-    /// Connection seconds that are left.
-    pub fn left(&self) -> f64 {
-        self.level / 1e6
+    /// Returns the connection seconds that are left.
+    pub fn seconds_left(&self) -> f64 {
+        self.level / MICROS_PER_SECOND
     }
 
-    /// When it will be used up, or enough of it back, if so many go on drawing.
-    pub fn turns(&self, drawn: u32) -> Option<Micros> {
-        let pace = self.sustained_connections() - f64::from(drawn);
-        let span = match self.empty {
-            true if pace > 0.0 => (self.most() * BACK - self.level).max(0.0) / pace,
-            false if pace < 0.0 => self.level / -pace,
+    /// Returns when the budget will be used up, or enough of it available again, if `drawing` connections keep
+    /// using it.
+    pub fn next_transition(&self, drawing: u32) -> Option<Micros> {
+        let net_rate = self.sustained_connections() - f64::from(drawing);
+        let remaining = match self.exhausted {
+            true if net_rate > 0.0 => (self.size() * RECOVERED_PART - self.level).max(0.0) / net_rate,
+            false if net_rate < 0.0 => self.level / -net_rate,
             _ => return None,
         };
-        Some(self.at.saturating_add(span.ceil() as Micros + 1))
+        Some(self.updated_at.saturating_add(remaining.ceil() as Micros + 1))
     }
 
-    /// How long until it is whole again if nobody draws on it.
-    pub fn whole_in(&self) -> Micros {
-        ((self.most() - self.level) / self.sustained_connections()).ceil() as Micros
+    /// Returns the time until the budget is full again if no connection uses it.
+    pub fn time_until_full(&self) -> Micros {
+        ((self.size() - self.level) / self.sustained_connections()).ceil() as Micros
     }
 }
--- a/src/contracts/contract.rs
+++ b/src/contracts/contract.rs
@@ -1,67 +1,76 @@
-//! What a team was promised, as the operator wrote it down, and what contradicts itself in it.
+//! The terms of contracts as the operator states them, their validation, and the differences between two versions.
 
+use super::MICROS_PER_SECOND;
 use crate::api::{Micros, RetryBudget};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The team of those who name none, or none that exists. It has no contract unless one is written for it under
-/// this name, and is then served from what others leave idle.
+/// The team of clients that name none, or none that exists. Unless the operator states a contract under this name, it
+/// has none and is served only from capacity that other teams leave idle.
 pub const OTHERS: &str = "others";
-/// The least connection seconds that a budget may hold: less is no budget, but a way to say none.
-const LEAST_SECONDS: f64 = 1.0;
+/// The least connection seconds of a budget. With less, the contract would in effect allow nothing.
+const MIN_BUDGET_SECONDS: f64 = 1.0;
+/// Longest name of a team in bytes.
+const MAX_TEAM_NAME_BYTES: usize = 255;
+/// Largest weight of a team (unitless).
+const MAX_WEIGHT: f64 = 1e6;
+/// Largest share of further attempts in a retry budget, as a part of the requests (unitless).
+const MAX_RETRY_SHARE: f64 = 10.0;
+/// Part by which a budget may exceed what the connections can use (unitless): values that were computed are not exact.
+const BUDGET_TOLERANCE: f64 = 1e-9;
 
-/// So many connection seconds in each span of this length.
+/// Connection seconds that a team may use in each period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Connection seconds.
     pub seconds: f64,
-    /// The span.
+    /// Length of the period.
     pub period: Micros,
 }
 
 impl Budget {
-    /// How many connections it pays for without end.
+    /// Returns the number of connections that the budget pays for indefinitely.
     pub fn sustained_connections(&self) -> f64 {
-        self.seconds * 1e6 / self.period as f64
+        self.seconds * MICROS_PER_SECOND / self.period as f64
     }
 }
 
-/// New connections a second, and so many at once.
+/// Limit on the rate of new connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// A second.
+    /// New connections a second.
     pub per_second: f64,
-    /// At once.
+    /// New connections at once.
     pub burst: f64,
 }
 
-/// A team's contract, over all balancers together.
+/// The contract of a team, over all balancers together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contract {
-    /// The team's name, as its clients say it.
+    /// Name of the team, as its clients send it.
     pub team: Arc<str>,
-    /// The names of its classes; none for all.
+    /// Names of the classes that it includes; none for all.
     pub classes: Option<Vec<String>>,
     /// Connections at a time.
     pub connections: f64,
-    /// How fast new ones may come; none for any.
+    /// Limit on the rate of new connections; none for no limit.
     pub rate: Option<Rate>,
-    /// Connection seconds; none for as many as its connections can use.
+    /// Budget of connection seconds; none for as many as the connections can use.
     pub budget: Option<Budget>,
-    /// Its part of what others leave idle, beside the other borrowers' weights.
+    /// Weight of the team when borrowers share capacity that others leave idle.
     pub weight: f64,
-    /// Whether it may hold more than its contract while others leave room idle.
+    /// Whether the team may hold more than its contract while others leave capacity idle.
     pub borrow: bool,
-    /// How long its requests may wait, where that is less than their clients would.
+    /// Longest that a request may wait, where its client would wait longer.
     pub deadline: Option<Micros>,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub attempts: Option<u32>,
     /// Limit on attempts beyond each request's first.
     pub retry: Option<RetryBudget>,
 }
 
 impl Contract {
-    /// One that promises nothing and forbids nothing.
+    /// Returns a contract that guarantees nothing and forbids nothing.
     pub fn none(team: &str) -> Contract {
         Contract {
             team: team.into(),
@@ -77,9 +86,10 @@
         }
     }
 
-    /// Each figure as text, by its key: what a change is told in.
+    /// Returns the values as text, by their keys in the settings. Changes are reported in this form.
     pub fn values_by_key(&self) -> BTreeMap<&'static str, String> {
-        let span = |us: Micros| humantime::format_duration(std::time::Duration::from_micros(us)).to_string();
+        let duration =
+            |us: Micros| humantime::format_duration(std::time::Duration::from_micros(us)).to_string();
         let mut all = BTreeMap::from([
             ("connections", self.connections.to_string()),
             ("weight", self.weight.to_string()),
@@ -89,75 +99,75 @@
         add("classes", self.classes.as_ref().map(|c| c.join(",")));
         add("rate", self.rate.map(|r| r.per_second.to_string()));
         add("burst", self.rate.map(|r| r.burst.to_string()));
-        add("budget", self.budget.map(|b| format!("{}s per {}", b.seconds, span(b.period))));
-        add("deadline", self.deadline.map(span));
+        add("budget", self.budget.map(|b| format!("{}s per {}", b.seconds, duration(b.period))));
+        add("deadline", self.deadline.map(duration));
         add("attempts", self.attempts.map(|n| n.to_string()));
-        add("retry", self.retry.map(|r| format!("{} and {} per {}", r.free, r.share, span(r.span))));
+        add("retry", self.retry.map(|r| format!("{} and {} per {}", r.free, r.share, duration(r.span))));
         all
     }
 }
 
-/// All that an operator wrote on contracts.
+/// All settings of the operator's file that concern contracts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Terms {
-    /// The contracts, one a team.
+    /// The contracts, one for each team.
     pub contracts: Vec<Contract>,
-    /// Connections that the whole fleet bears; none: learned.
+    /// Connections that the whole fleet can hold; none if the capacity is learned.
     pub capacity: Option<f64>,
-    /// For how many ready instances that was stated; none: for the most that were ready at a time.
+    /// Number of ready instances for which `capacity` was stated; none for the most that were ready at one time.
     pub instances: Option<u32>,
-    /// Connections that may be asked to move in a second; none: a quarter of the capacity, ten at least.
+    /// Connections that may be asked to move in a second; none for a quarter of the capacity, ten at least.
     pub reclaim_rate: Option<f64>,
 }
 
-/// Why terms were refused: where, and what to do instead.
+/// Why terms were rejected: the place, and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TermsError {
-    /// Which contract, by its place; none where it is about no single one.
+    /// Index of the contract; none if the error is not about a single one.
     pub contract: Option<usize>,
     /// The key.
     pub key: &'static str,
-    /// What is wrong with it, and the mend.
+    /// What is wrong, and how to correct it.
     pub text: String,
 }
 
-/// Refuses figures that nobody can mean or that contradict each other; the first one found.
+/// Rejects values that make no sense or contradict each other, and returns the first error found.
 pub fn validate(terms: &Terms) -> Result<(), TermsError> {
-    let whole = |key, ok: bool, text: String| match ok {
+    let require = |key, ok: bool, text: String| match ok {
         true => Ok(()),
         false => Err(TermsError { contract: None, key, text }),
     };
     if let Some(c) = terms.capacity {
-        whole("connections", c.is_finite() && c >= 1.0, format!("must be 1 or more, not {c}"))?;
+        require("connections", c.is_finite() && c >= 1.0, format!("must be 1 or more, not {c}"))?;
     }
-    whole("instances", terms.instances != Some(0), "must be 1 or more, not 0".into())?;
+    require("instances", terms.instances != Some(0), "must be 1 or more, not 0".into())?;
     if terms.instances.is_some() {
         let text = "says for how many instances `connections` was stated: state `connections` too";
-        whole("instances", terms.capacity.is_some(), text.into())?;
+        require("instances", terms.capacity.is_some(), text.into())?;
     }
     if let Some(r) = terms.reclaim_rate {
         let text = format!("must be more than 0 moves a second, not {r}");
-        whole("rate", r.is_finite() && r > 0.0, text)?;
+        require("rate", r.is_finite() && r > 0.0, text)?;
     }
     let mut seen = BTreeMap::new();
     for (i, contract) in terms.contracts.iter().enumerate() {
-        let wrong = |key, text: String| Err(TermsError { contract: Some(i), key, text });
+        let error = |key, text: String| Err(TermsError { contract: Some(i), key, text });
         if let Some((key, text)) = contract_error(contract) {
-            return wrong(key, text);
+            return error(key, text);
         }
         if let Some(first) = seen.insert(contract.team.clone(), i) {
             let text =
                 format!("{:?} has a contract already, the {}. one: join the two", contract.team, first + 1);
-            return wrong("name", text);
+            return error("name", text);
         }
     }
     Ok(())
 }
 
 fn contract_error(c: &Contract) -> Option<(&'static str, String)> {
-    let plain = |ch: char| !ch.is_control() && !matches!(ch, ' ' | ',' | '=' | '"');
+    let is_allowed = |ch: char| !ch.is_control() && !matches!(ch, ' ' | ',' | '=' | '"');
     let positive = |v: f64| v.is_finite() && v > 0.0;
-    if c.team.is_empty() || !c.team.chars().all(plain) || c.team.len() > 255 {
+    if c.team.is_empty() || !c.team.chars().all(is_allowed) || c.team.len() > MAX_TEAM_NAME_BYTES {
         let text =
             "must be 1 to 255 characters without spaces, commas, quotes and `=`: clients say it as `t=NAME`";
         return Some(("name", text.into()));
@@ -168,7 +178,7 @@
     if !c.connections.is_finite() || c.connections < 0.0 || (c.connections < 1.0 && &*c.team != OTHERS) {
         return Some(("connections", format!("must be 1 or more, not {}", c.connections)));
     }
-    if !positive(c.weight) || c.weight > 1e6 {
+    if !positive(c.weight) || c.weight > MAX_WEIGHT {
         return Some(("weight", format!("must be more than 0 and at most 1000000, not {}", c.weight)));
     }
     if !c.borrow && c.weight != 1.0 {
@@ -191,15 +201,18 @@
         }
     }
     if let Some(b) = c.budget {
-        if !b.seconds.is_finite() || b.seconds < LEAST_SECONDS {
-            return Some(("budget", format!("must hold {LEAST_SECONDS} second or more, not {}", b.seconds)));
+        if !b.seconds.is_finite() || b.seconds < MIN_BUDGET_SECONDS {
+            return Some((
+                "budget",
+                format!("must hold {MIN_BUDGET_SECONDS} second or more, not {}", b.seconds),
+            ));
         }
         if b.period == 0 {
             return Some(("budget", "needs a span of more than 0 in `per`".into()));
         }
-        // With a hair of room for figures that were computed.
-        if b.sustained_connections() > c.connections * (1.0 + 1e-9) {
-            let most = c.connections * b.period as f64 / 1e6;
+        // With a tolerance for values that were computed.
+        if b.sustained_connections() > c.connections * (1.0 + BUDGET_TOLERANCE) {
+            let most = c.connections * b.period as f64 / MICROS_PER_SECOND;
             let text = format!(
                 "of {} seconds can never be used up: {} connections use {most} in its span; lower it, or leave it out",
                 b.seconds, c.connections
@@ -221,41 +234,45 @@
         if r.span == 0 {
             return Some(("retry", "needs a span of more than 0 in `per`".into()));
         }
-        if !r.free.is_finite() || r.free < 0.0 || !r.share.is_finite() || !(0.0..=10.0).contains(&r.share) {
+        if !r.free.is_finite()
+            || r.free < 0.0
+            || !r.share.is_finite()
+            || !(0.0..=MAX_RETRY_SHARE).contains(&r.share)
+        {
             return Some(("retry", "needs `free` of 0 or more and a `share` from 0 to 10".into()));
         }
     }
     None
 }
 
-/// One figure that a change of the terms has changed.
+/// A value that differs between two versions of the terms.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TermsChange {
-    /// The team; empty where it is about none.
+    /// The team; empty if the value belongs to none.
     pub team: String,
-    /// The key; `contract` where the whole came or went.
+    /// The key; `contract` if the whole contract was added or removed.
     pub key: &'static str,
-    /// What it was.
+    /// Value before the change.
     pub before: String,
-    /// What it is.
+    /// Value after the change.
     pub after: String,
 }
 
-/// What differs between two sets of terms, in the order of the teams' names.
+/// Returns the differences between two versions of the terms, in the order of the team names.
 pub fn diff_terms(before: &Terms, after: &Terms) -> Vec<TermsChange> {
     const NONE: &str = "none";
     let mut all = Vec::new();
     let text = |v: Option<String>| v.unwrap_or_else(|| NONE.into());
-    let mut differ = |team: &str, key, before: String, after: String| {
+    let mut compare = |team: &str, key, before: String, after: String| {
         if before != after {
             all.push(TermsChange { team: team.into(), key, before, after });
         }
     };
-    let figure = |v: Option<f64>| text(v.map(|v| v.to_string()));
-    differ("", "capacity.connections", figure(before.capacity), figure(after.capacity));
+    let as_text = |v: Option<f64>| text(v.map(|v| v.to_string()));
+    compare("", "capacity.connections", as_text(before.capacity), as_text(after.capacity));
     let instances = |t: &Terms| text(t.instances.map(|n| n.to_string()));
-    differ("", "capacity.instances", instances(before), instances(after));
-    differ("", "reclaim.rate", figure(before.reclaim_rate), figure(after.reclaim_rate));
+    compare("", "capacity.instances", instances(before), instances(after));
+    compare("", "reclaim.rate", as_text(before.reclaim_rate), as_text(after.reclaim_rate));
     let by_name = |t: &Terms| -> BTreeMap<Arc<str>, BTreeMap<&'static str, String>> {
         t.contracts.iter().map(|c| (c.team.clone(), c.values_by_key())).collect()
     };
@@ -266,14 +283,14 @@
             (Some(old), Some(new)) => {
                 let keys: std::collections::BTreeSet<_> = old.keys().chain(new.keys()).collect();
                 for key in keys {
-                    differ(name, key, text(old.get(key).cloned()), text(new.get(key).cloned()));
+                    compare(name, key, text(old.get(key).cloned()), text(new.get(key).cloned()));
                 }
             }
             (old, new) => {
                 let whole = |f: Option<&BTreeMap<&'static str, String>>| {
                     text(f.map(|f| format!("connections {}", f["connections"])))
                 };
-                differ(name, "contract", whole(old), whole(new));
+                compare(name, "contract", whole(old), whole(new));
             }
         }
     }
--- a/src/contracts/ledger.rs
+++ b/src/contracts/ledger.rs
@@ -1,5 +1,5 @@
-//! What each team asked for and used: counts, and connection seconds integrated exactly at each change, in whole
-//! connection-microseconds. Nothing is sampled; two events at one time add nothing between them.
+//! The account of each team: counts of requests, and connection seconds integrated exactly at each change, in whole
+//! connection-microseconds. Nothing is sampled; no usage is added between two events at the same time.
 
 use crate::api::Micros;
 use std::fmt;
@@ -7,28 +7,28 @@
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// Its contract does not name its class. No time of coming back mends that.
+    /// The contract does not include the class of the request. A retry does not help.
     Class,
-    /// New connections come faster than its contract says.
+    /// New connections arrive faster than the contract allows.
     Rate,
-    /// It is at its contract, and may not borrow.
+    /// The team is at its contract and may not borrow.
     Contract,
-    /// Its budget is used up, it is at what that earns, and it may not borrow.
+    /// The budget is used up, the team holds what the budget earns, and it may not borrow.
     Budget,
-    /// It is over its contract, and nothing is idle.
+    /// The team is at or over its contract, and no capacity is idle.
     Idle,
-    /// It is over its contract, and others who hold less of what is idle come first.
+    /// The team is at or over its contract, and other borrowers that hold less of the idle capacity come first.
     Share,
-    /// It is within its contract, and room is being made for it.
+    /// The team is within its contract, and connections are being moved to make room for it.
     Reclaim,
-    /// It is within its contract, and the fleet is full of connections within theirs.
+    /// The team is within its contract, and the fleet is full of connections that are within theirs.
     Full,
-    /// It was let in, and no instance could take it.
+    /// The request was admitted, and no instance could take it.
     Placement,
 }
 
 impl Reason {
-    /// All of them.
+    /// All reasons, in the order of [`Ledger::refused`].
     pub const ALL: [Reason; 9] = [
         Reason::Class,
         Reason::Rate,
@@ -41,7 +41,7 @@
         Reason::Placement,
     ];
 
-    /// Its name in the account.
+    /// Returns the name of the reason in the account.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Class => "class",
@@ -63,96 +63,97 @@
     }
 }
 
-/// What a class of a team holds and has used.
+/// Connections and usage of one class of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClassUse {
-    /// Connections now.
+pub struct ClassUsage {
+    /// Connections held now.
     pub held: u32,
-    /// Connection-microseconds up to the last change.
-    pub used: u64,
-    /// When that was.
-    at: Micros,
+    /// Connection-microseconds used up to the last change.
+    pub used_us: u64,
+    /// When the last change was.
+    updated_at: Micros,
 }
 
-impl ClassUse {
-    fn flow(&mut self, now: Micros) {
-        self.used += u64::from(self.held) * now.saturating_sub(self.at);
-        self.at = self.at.max(now);
+impl ClassUsage {
+    fn advance(&mut self, now: Micros) {
+        self.used_us += u64::from(self.held) * now.saturating_sub(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
-/// A team's account. All figures only grow.
+/// The account of a team. All figures only grow.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// Requests that came.
+    /// Requests received.
     pub asked: u64,
-    /// Let in within the contract.
+    /// Requests admitted within the contract.
     pub within: u64,
-    /// Let in beyond it, from what others left idle.
+    /// Requests admitted beyond the contract, from capacity that other teams left idle.
     pub borrowed: u64,
-    /// Of both, those whose connection stood.
+    /// Admitted requests whose connection was established.
     pub served: u64,
-    /// Refused, by [`Reason::ALL`].
+    /// Refused requests, in the order of [`Reason::ALL`].
     pub refused: [u64; Reason::ALL.len()],
-    /// Let in and not served: they failed, or their client left first.
+    /// Admitted requests that were not served: they failed, or their client left first.
     pub lost: u64,
     /// Connections that were asked to move.
     pub moved: u64,
-    /// Connections that have ended after they stood.
+    /// Connections that have ended after they were established.
     pub ended: u64,
     /// Connection-microseconds held beyond the contract.
-    pub over: u64,
+    pub over_contract_us: u64,
     /// Connection-microseconds that the contract allowed.
-    pub allowed: u64,
-    classes: Vec<ClassUse>,
-    at: Micros,
+    pub allowed_us: u64,
+    classes: Vec<ClassUsage>,
+    updated_at: Micros,
 }
 
 impl Ledger {
-    /// An empty one that begins now.
+    /// Creates an empty ledger that starts at `now`.
     pub fn new(now: Micros) -> Ledger {
-        Ledger { at: now, ..Ledger::default() }
+        Ledger { updated_at: now, ..Ledger::default() }
     }
 
-    /// Time passes while so many are held and the contract is so many.
-    pub fn flow(&mut self, now: Micros, held: u32, contract: u32) {
-        let span = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        self.over += u64::from(held.saturating_sub(contract)) * span;
-        self.allowed += u64::from(contract) * span;
+    /// Advances to `now`, with `held` connections and a contract of `contract` since the last change.
+    pub fn advance(&mut self, now: Micros, held: u32, contract: u32) {
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
+        self.over_contract_us += u64::from(held.saturating_sub(contract)) * elapsed;
+        self.allowed_us += u64::from(contract) * elapsed;
     }
 
-    /// One more of a class, or one less.
-    pub fn count(&mut self, now: Micros, class: usize, into: bool) {
+    /// Counts a connection of a class: one more if `added`, one fewer otherwise.
+    pub fn count_connection(&mut self, now: Micros, class: usize, added: bool) {
         if self.classes.len() <= class {
-            self.classes.resize(class + 1, ClassUse::default());
+            self.classes.resize(class + 1, ClassUsage::default());
         }
         let class = &mut self.classes[class];
-        class.flow(now);
-        class.held = if into { class.held + 1 } else { class.held.saturating_sub(1) };
+        class.advance(now);
+        class.held = if added { class.held + 1 } else { class.held.saturating_sub(1) };
     }
 
-    /// One was refused.
-    pub fn refuse(&mut self, why: Reason) {
+    /// Counts a refused request.
+    pub fn record_refusal(&mut self, why: Reason) {
         self.refused[why as usize] += 1;
     }
 
-    /// Connection-microseconds used by class, up to now.
-    pub fn by_class(&self, now: Micros) -> impl Iterator<Item = ClassUse> + '_ {
+    /// Returns the usage of each class up to `now`.
+    pub fn usage_by_class(&self, now: Micros) -> impl Iterator<Item = ClassUsage> + '_ {
         self.classes.iter().map(move |class| {
             let mut class = *class;
-            class.flow(now);
+            class.advance(now);
             class
         })
     }
 
-    /// Connection-microseconds used up to now.
-    pub fn used(&self, now: Micros) -> u64 {
-        self.by_class(now).map(|class| class.used).sum()
+    /// Returns the connection-microseconds used by all classes up to `now`.
+    pub fn total_used_us(&self, now: Micros) -> u64 {
+        self.usage_by_class(now).map(|class| class.used_us).sum()
     }
 
-    /// How long its connections have lived on average; none before one has ended.
-    pub fn mean_life(&self, now: Micros) -> Option<Micros> {
-        self.used(now).checked_div(self.ended)
+    /// Returns the mean lifetime of a connection: the usage divided by the number of connections that have ended.
+    /// None before one has ended.
+    pub fn mean_lifetime(&self, now: Micros) -> Option<Micros> {
+        self.total_used_us(now).checked_div(self.ended)
     }
 }
--- a/src/contracts/reclaim.rs
+++ b/src/contracts/reclaim.rs
@@ -1,90 +1,96 @@
-//! Which connections of a team are asked to move, and how fast. Nobody is cut off: a move is asked between two
-//! messages, in each front's own way, and counts as leaving until its connection has ended.
+//! Selects which connections of a team are asked to move, and limits how fast. No connection is closed by force: the
+//! client is asked to move between two messages, in the way of each front end, and the connection counts as leaving
+//! until it has ended.
 
-use super::bucket::Tokens;
+use super::bucket::TokenBucket;
 use super::contract::Rate;
+use super::MICROS_PER_SECOND;
 use crate::api::Micros;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Moves a second where none are stated: this part of the capacity ...
-const PART: f64 = 0.25;
-/// ... and no fewer than so many.
-const LEAST: f64 = 10.0;
-/// At once, as a part of a second's: a reconnect storm is what the pace guards against.
-const AT_ONCE: f64 = 0.1;
+/// Moves a second where the operator states no rate, as a part of the capacity in connections (unitless).
+const DEFAULT_MOVES_PER_CAPACITY: f64 = 0.25;
+/// The least moves a second of the whole fleet where the operator states no rate.
+const MIN_DEFAULT_MOVES_PER_SECOND: f64 = 10.0;
+/// The burst of moves, as seconds' worth of the rate. It is short because each move is a reconnect, and the limit is
+/// there to prevent a reconnect storm.
+const BURST_SECONDS: f64 = 0.1;
 
-/// How fast moves may go.
+/// Limits the rate of moves.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    stated: Option<f64>,
+pub struct ReclaimPace {
+    stated_rate: Option<f64>,
     part: f64,
     rate: f64,
-    tokens: Tokens,
+    bucket: TokenBucket,
 }
 
-impl Pace {
-    /// The stated pace of the fleet, of which this is one balancer's part.
-    pub fn new(now: Micros, stated: Option<f64>, part: f64) -> Pace {
-        let rate = stated.unwrap_or(LEAST) * part;
-        Pace { stated, part, rate, tokens: Tokens::new(now, per_second(rate)) }
+impl ReclaimPace {
+    /// Creates a limit from the fleet's stated rate, of which this balancer has `part`.
+    pub fn new(now: Micros, stated_rate: Option<f64>, part: f64) -> ReclaimPace {
+        let rate = stated_rate.unwrap_or(MIN_DEFAULT_MOVES_PER_SECOND) * part;
+        ReclaimPace { stated_rate, part, rate, bucket: TokenBucket::new(now, bucket_rate(rate)) }
     }
 
-    /// Other terms, or another capacity of this balancer.
-    pub fn changed(&mut self, now: Micros, stated: Option<f64>, capacity: Option<f64>) {
-        self.stated = stated;
-        let own = capacity.map_or(0.0, |c| c * PART).max(LEAST * self.part);
-        self.rate = self.stated.map_or(own, |rate| rate * self.part);
-        self.tokens.changed(now, per_second(self.rate));
+    /// Updates the fleet's stated rate and the capacity of this balancer.
+    pub fn update(&mut self, now: Micros, stated_rate: Option<f64>, capacity: Option<f64>) {
+        self.stated_rate = stated_rate;
+        let default_rate = capacity
+            .map_or(0.0, |c| c * DEFAULT_MOVES_PER_CAPACITY)
+            .max(MIN_DEFAULT_MOVES_PER_SECOND * self.part);
+        self.rate = self.stated_rate.map_or(default_rate, |rate| rate * self.part);
+        self.bucket.set_rate(now, bucket_rate(self.rate));
     }
 
-    /// Whether one may go now; it is counted.
-    pub fn go(&mut self, now: Micros) -> bool {
-        let there = self.tokens.there(now);
-        if there {
-            self.tokens.take(now);
+    /// Returns whether a move may be asked for now, and counts it if so.
+    pub fn try_take(&mut self, now: Micros) -> bool {
+        let available = self.bucket.has_token(now);
+        if available {
+            self.bucket.take(now);
         }
-        there
+        available
     }
 
-    /// How long until the next may go.
-    pub fn wait(&mut self, now: Micros) -> Micros {
-        self.tokens.wait(now)
+    /// Returns the time until the next move may be asked for.
+    pub fn time_until_next(&mut self, now: Micros) -> Micros {
+        self.bucket.time_until_token(now)
     }
 
-    /// How long so many moves take.
-    pub fn span(&self, moves: u64) -> Micros {
-        (moves as f64 / self.rate * 1e6) as Micros
+    /// Returns how long `moves` moves take at this rate.
+    pub fn duration_of(&self, moves: u64) -> Micros {
+        (moves as f64 / self.rate * MICROS_PER_SECOND) as Micros
     }
 }
 
-fn per_second(rate: f64) -> Rate {
-    Rate { per_second: rate, burst: (rate * AT_ONCE).max(1.0) }
+fn bucket_rate(rate: f64) -> Rate {
+    Rate { per_second: rate, burst: (rate * BURST_SECONDS).max(1.0) }
 }
 
-/// A team's standing connections in the order in which they would be asked to move: of the class that is worth
-/// least first, and of one class the newest first, which has the least to lose.
+/// The established connections of a team in the order in which they are asked to move: those of the class with the
+/// lowest worth first, and within a class the newest first, because it loses the least state.
 #[derive(Debug, Default)]
-pub struct Movable(BTreeSet<(u32, Reverse<u64>, usize)>);
+pub struct MoveQueue(BTreeSet<(u32, Reverse<u64>, usize)>);
 
-impl Movable {
-    /// One stands: the rank of its class by worth, its number by age, and its place.
-    pub fn insert(&mut self, rank: u32, number: u64, place: usize) {
-        self.0.insert((rank, Reverse(number), place));
+impl MoveQueue {
+    /// Adds an established connection: the rank of its class by worth, its sequence number, and its slot among the
+    /// entries of [`Contracts`](super::Contracts).
+    pub fn insert(&mut self, rank: u32, number: u64, slot: usize) {
+        self.0.insert((rank, Reverse(number), slot));
     }
 
-    /// It moves or has ended.
-    pub fn remove(&mut self, rank: u32, number: u64, place: usize) {
-        self.0.remove(&(rank, Reverse(number), place));
+    /// Removes a connection that was asked to move or has ended.
+    pub fn remove(&mut self, rank: u32, number: u64, slot: usize) {
+        self.0.remove(&(rank, Reverse(number), slot));
     }
 
-    /// The one to move.
+    /// Returns the slot of the connection to move next.
     pub fn first(&self) -> Option<usize> {
-        self.0.first().map(|&(_, _, place)| place)
+        self.0.first().map(|&(_, _, slot)| slot)
     }
 }
 
-/// The ranks of classes by their worth: the least is 0, and equal ones share a rank.
+/// Returns the ranks of classes by worth: the lowest worth has rank 0, and equal worths share a rank.
 pub fn ranks(worths: &[f64]) -> Vec<u32> {
     let mut order: Vec<f64> = worths.to_vec();
     order.sort_by(f64::total_cmp);
--- a/src/contracts/row.rs
+++ b/src/contracts/row.rs
@@ -1,89 +1,90 @@
-//! A team's account as it is told: flat, in the words of the log, and the same in datagrams. All counts are from the start of a
-//! process on and only grow, so of two rows of one process and team the one that has counted more is the later.
+//! A team's account as it is logged and sent in datagrams: a flat row with the field names of the log. All counts start
+//! at zero with the process and only grow, so of two rows of one process and team the one with the higher counts is the
+//! later.
 
 use super::ledger::Reason;
-use super::Account;
+use super::{Account, MICROS_PER_SECOND};
 use serde::{Deserialize, Serialize};
 
-/// One team at one process.
+/// The account of one team at one process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Row {
     /// The team.
     pub team: String,
-    /// What it holds, what its contract allows here now, and what it would allow with nothing cut.
+    /// Connections held.
     pub held: u32,
-    /// See `held`.
+    /// Connections that the contract allows at this balancer now.
     pub contract: u32,
-    /// See `held`.
+    /// Connections that the contract allows when contracts are not reduced.
     pub stated: f64,
-    /// As in the ledger.
+    /// Requests received.
     pub asked: u64,
-    /// As in the ledger.
+    /// Requests admitted within the contract.
     pub within: u64,
-    /// As in the ledger.
+    /// Requests admitted beyond the contract.
     pub borrowed: u64,
-    /// As in the ledger.
+    /// Admitted requests whose connection was established.
     pub served: u64,
-    /// As in the ledger.
+    /// Admitted requests that were not served.
     pub lost: u64,
-    /// As in the ledger.
+    /// Connections that were asked to move.
     pub moved: u64,
-    /// As in the ledger.
+    /// Connections that have ended after they were established.
     pub ended: u64,
-    /// By [`Reason::ALL`].
+    /// Refused requests, in the order of [`Reason::ALL`].
     pub refused: Vec<u64>,
-    /// Connection seconds used, used beyond the contract, and allowed.
+    /// Connection seconds used.
     pub used: f64,
-    /// See `used`.
+    /// Connection seconds used beyond the contract.
     pub over: f64,
-    /// See `used`.
+    /// Connection seconds that the contract allowed.
     pub allowed: f64,
-    /// Connection seconds left of the budget, and seconds until it is whole.
+    /// Connection seconds left of the budget.
     pub left: Option<f64>,
-    /// See `left`.
+    /// Seconds until the budget is full.
     pub whole_in: Option<f64>,
-    /// Connection seconds by class.
+    /// Connection seconds used by each class, as `NAME=SECONDS` separated by spaces.
     pub classes: String,
 }
 
 impl Row {
-    /// An account with the names of its classes.
-    pub fn new(a: &Account, classes: &[String]) -> Row {
-        let seconds = |us: u64| us as f64 / 1e6;
-        let used = |(i, class): (usize, &super::ledger::ClassUse)| {
+    /// Creates a row from an account and the names of the classes.
+    pub fn new(account: &Account, classes: &[String]) -> Row {
+        let seconds = |us: u64| us as f64 / MICROS_PER_SECOND;
+        let class_text = |(i, class): (usize, &super::ledger::ClassUsage)| {
             let name = classes.get(i).map_or("unknown", String::as_str);
-            format!("{name}={:.6}", seconds(class.used))
+            format!("{name}={:.6}", seconds(class.used_us))
         };
-        let l = &a.ledger;
+        let ledger = &account.ledger;
         Row {
-            team: a.team.to_string(),
-            held: a.held,
-            contract: a.contract,
-            stated: a.stated,
-            asked: l.asked,
-            within: l.within,
-            borrowed: l.borrowed,
-            served: l.served,
-            lost: l.lost,
-            moved: l.moved,
-            ended: l.ended,
-            refused: l.refused.to_vec(),
-            used: seconds(a.used_us),
-            over: seconds(l.over),
-            allowed: seconds(l.allowed),
-            left: a.budget_left_seconds,
-            whole_in: a.budget_full_in.map(seconds),
-            classes: a.class_usage.iter().enumerate().map(used).collect::<Vec<_>>().join(" "),
+            team: account.team.to_string(),
+            held: account.held,
+            contract: account.contract,
+            stated: account.stated,
+            asked: ledger.asked,
+            within: ledger.within,
+            borrowed: ledger.borrowed,
+            served: ledger.served,
+            lost: ledger.lost,
+            moved: ledger.moved,
+            ended: ledger.ended,
+            refused: ledger.refused.to_vec(),
+            used: seconds(account.used_us),
+            over: seconds(ledger.over_contract_us),
+            allowed: seconds(ledger.allowed_us),
+            left: account.budget_left_seconds,
+            whole_in: account.budget_full_in.map(seconds),
+            classes: account.class_usage.iter().enumerate().map(class_text).collect::<Vec<_>>().join(" "),
         }
     }
 
-    /// How many were refused for this reason.
-    pub fn refused(&self, why: Reason) -> u64 {
-        self.refused.get(why as usize).copied().unwrap_or_default()
+    /// Returns the number of requests refused for this reason.
+    pub fn refused(&self, reason: Reason) -> u64 {
+        self.refused.get(reason as usize).copied().unwrap_or_default()
     }
 
-    /// Whether it has counted no less than another of its process and team.
+    /// Returns whether this row is as recent as another of the same process and team, or more recent.
     pub fn is_at_least_as_recent_as(&self, other: &Row) -> bool {
         let counted = |row: &Row| row.asked + row.ended + row.moved;
         counted(self) >= counted(other) && self.allowed >= other.allowed
--- a/src/rebalance/imbalance.rs
+++ b/src/rebalance/imbalance.rs
@@ -1,13 +1,14 @@
-//! How far each server is from its share, and whether a move helps.
+//! Compares the load of each server with its share, and decides whether a move reduces the imbalance.
 
 use crate::api::{HostId, HostView, Micros};
 use std::collections::BTreeMap;
 
-/// A home takes moves from this part of its warmth on; until then new connections alone fill it.
+/// Warmth from which a home accepts moves, as a part of its full capacity (unitless). Below it, only new connections
+/// add load to the home.
 const MIN_HOME_WARMTH: f64 = 0.6;
 
-/// A home counts as back for so long after its start. Others are under their share for reasons that moves do not
-/// mend: bounded load and ceilings send connections away from them, and would again.
+/// Time after its start during which a home counts as back. A server that has run for longer is under its share because
+/// bounded load and ceilings send connections elsewhere, and they would send a moved connection elsewhere again.
 const RETURN_WINDOW_US: Micros = 600_000_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -17,17 +18,17 @@
     accepts_moves: bool,
 }
 
-/// The loads of one balancer's servers beside their shares.
+/// The loads of the servers of one balancer, compared with their shares.
 #[derive(Clone, Debug)]
 pub struct LoadBalance {
     servers: BTreeMap<HostId, ServerLoad>,
-    /// Load for each unit of size, over all that are able.
+    /// Total load divided by total size.
     mean_load_per_size: f64,
     dead_band: f64,
 }
 
 impl LoadBalance {
-    /// Of these hosts. A size counts as much as its server is warm.
+    /// Creates the comparison for these hosts. A size counts in proportion to the warmth of its server.
     pub fn new(now: Micros, hosts: &[HostView], dead_band: f64) -> LoadBalance {
         let recently_started =
             |h: &HostView| h.ready_at > 0 && now < h.ready_at.saturating_add(RETURN_WINDOW_US);
@@ -42,14 +43,15 @@
         LoadBalance { servers, mean_load_per_size: load / size.max(f64::MIN_POSITIVE), dead_band }
     }
 
-    /// The largest load over its share; 1 is even.
+    /// Returns the largest ratio of a load to its share; 1 is even.
     pub fn max_load_ratio(&self) -> f64 {
         let over = self.servers.values().filter(|s| s.size > 0.0).map(|s| s.load / s.size);
         over.fold(0.0, f64::max) / self.mean_load_per_size.max(f64::MIN_POSITIVE)
     }
 
-    /// Whether a move of so much load from one to the other is wanted: the second is back and under its share by the
-    /// band, the first is not under its own, and would be no lower than the second afterwards.
+    /// Returns whether moving `load` from one server to the other reduces the imbalance: the target was started recently
+    /// and is below its share by the dead band, the source is not below its own share, and after the move the source is
+    /// still no lower than the target, relative to size.
     pub fn move_helps(&self, from: HostId, to: HostId, load: f64) -> bool {
         let (Some(a), Some(b)) = (self.servers.get(&from), self.servers.get(&to)) else { return false };
         if from == to || !b.accepts_moves || b.size <= 0.0 || a.size <= 0.0 {
@@ -60,7 +62,7 @@
         uneven && (a.load - load) / a.size >= (b.load + load) / b.size
     }
 
-    /// The move is made.
+    /// Applies a move to the loads.
     pub fn apply_move(&mut self, from: HostId, to: HostId, load: f64) {
         self.servers.entry(from).and_modify(|s| s.load -= load);
         self.servers.entry(to).and_modify(|s| s.load += load);
--- a/src/rebalance/mod.rs
+++ b/src/rebalance/mod.rs
@@ -1,17 +1,22 @@
-//! Slow rebalancing: standing connections that stand away from their home on the ring are asked to come again, at a
-//! rate and in an order that the fleet bears, once their home is back and warm.
+//! Slow rebalancing: established connections on a server other than their home on the ring are asked to reconnect, once
+//! the home is back and warm, at a rate and in an order that the fleet can absorb.
 //!
-//! Promised, for one balancer's part: nobody is moved but to its home on the ring, and only while that home came back
-//! in the last ten minutes and holds less than its share by the dead band, the server left holds its share or more,
-//! and the home would still hold no more than that server afterwards, so no move makes the imbalance larger; never faster than the pace, in any window, and not to one home more than a fifth of
-//! it; whole groups after one another, the class that is worth least first; nobody young, so nobody twice in that
-//! span; nothing for a while after any trouble, then slowly again. The plan ends by itself: each move takes one away.
+//! Guarantees, for this balancer's part:
+//! - connections are moved only to their home on the ring, and only while the home was started in the last ten minutes
+//!   and holds less than its share by the dead band, the server that they leave holds its share or more, and the home
+//!   still holds no more than that server afterwards, relative to size, so no move increases the imbalance;
+//! - moves never exceed the rate in any window, nor a fifth of it to one home;
+//! - groups are moved one after another as a whole, the class with the lowest worth first;
+//! - a connection younger than the minimum age is not moved, so none is moved twice within that time;
+//! - no connection is moved for a while after a failure, and moves start slowly again.
 //!
-//! Not promised: that the client comes back (the module places it then like any other), and balance of what the
-//! ring itself spreads unevenly: who is at home stays there.
+//! A plan ends by itself, because each move makes it shorter.
 //!
-//! Used through [`Rebalance`]: events and a [`View`] in, calls and [`Note`]s out. No I/O, no clock. The broker's core
-//! is the only caller.
+//! Not guaranteed: that the client reconnects (the decision module then places it like any other), and balance where
+//! the ring itself is uneven, because connections at home are never moved.
+//!
+//! The interface is [`Rebalancer`]: events and a [`View`] in, calls and [`PlanEvent`]s out. The module does no I/O and
+//! reads no clock. Only the core of the broker calls it.
 
 pub mod imbalance;
 pub mod pace;
@@ -21,19 +26,19 @@
 use pace::MovePace;
 use std::collections::BTreeMap;
 
-/// Between two looks at the books: they are gone through whole.
+/// Interval between two checks. Each check visits every displaced connection.
 const CHECK_INTERVAL_US: Micros = 1_000_000;
-/// After trouble nothing is moved for so long.
+/// Time after a failure during which no connection is moved.
 const PAUSE_US: Micros = 5_000_000;
 
-/// What an operator wrote on rebalancing.
+/// Settings of the operator for rebalancing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RebalanceSettings {
-    /// Most moves a second, of all balancers together.
+    /// Maximum number of moves a second, over all balancers together.
     pub moves_per_second: f64,
-    /// The dead band: how far under its share a home must be before anyone is moved there, as a part.
+    /// How far below its share a home must be before connections are moved to it, as a part of the share.
     pub dead_band: f64,
-    /// A connection is not moved before it has stood so long.
+    /// Minimum time since a connection was established before it may be moved.
     pub min_age: Micros,
     /// Names of classes that are never moved.
     pub excluded_classes: Vec<String>,
@@ -50,23 +55,23 @@
     }
 }
 
-/// What the module knows at a look.
+/// State of the servers and connections at a check.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The hosts.
     pub hosts: Vec<HostView>,
-    /// The connections that stand away from home.
+    /// Connections on a server other than their home.
     pub strays: Vec<Stray>,
 }
 
-/// What is worth telling the operator.
+/// Event of a rebalancing plan, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanEvent {
-    /// A plan begins: so many connections may move, at this imbalance (the largest load over its share).
+    /// A plan has started: the number of connections that may move, and the largest ratio of a load to its share.
     Started(usize, f64),
-    /// It rests, for this cause.
+    /// Moves are paused, for this cause.
     Paused(&'static str),
-    /// It has ended: so many were moved, at this imbalance.
+    /// The plan has ended: the number of connections moved, and the largest ratio of a load to its share.
     Finished(u64, f64),
 }
 
@@ -74,20 +79,21 @@
 #[derive(Debug)]
 pub struct Rebalancer {
     settings: RebalanceSettings,
-    /// The ranks of classes by worth, and those that are never moved.
+    /// Ranks of the classes by worth.
     class_ranks: Vec<u32>,
+    /// By class: whether its connections are never moved.
     excluded: Vec<bool>,
     pace: MovePace,
     established_at: BTreeMap<CallId, Micros>,
     last_check: Option<Micros>,
     paused_until: Option<Micros>,
-    /// Moves of the plan that is under way.
+    /// Number of moves in the plan that is in progress; none without a plan.
     moved_in_plan: Option<u64>,
     events: Vec<PlanEvent>,
 }
 
 impl Rebalancer {
-    /// One for these classes (name and worth), of so many balancers.
+    /// Creates a rebalancer for these classes (name and worth), one of `balancers` that share the rate.
     pub fn new(
         now: Micros,
         settings: RebalanceSettings,
@@ -108,22 +114,22 @@
         }
     }
 
-    /// The terms in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> &RebalanceSettings {
         &self.settings
     }
 
-    /// A connection stands.
+    /// Records that a connection was established.
     pub fn connection_established(&mut self, now: Micros, call: &CallId) {
         self.established_at.insert(call.clone(), now);
     }
 
-    /// It is over.
+    /// Records that a connection has ended.
     pub fn connection_ended(&mut self, call: &CallId) {
         self.established_at.remove(call);
     }
 
-    /// Something went wrong, or moves are made for another cause: nothing is moved for a while.
+    /// Stops moves for [`PAUSE_US`] after a failure, or while connections are moved for another cause.
     pub fn pause(&mut self, now: Micros, cause: &'static str) {
         let already_paused = self.paused_until.is_some_and(|until| now < until);
         self.paused_until = Some(now.saturating_add(PAUSE_US));
@@ -135,18 +141,18 @@
         }
     }
 
-    /// When [`Rebalance::turn`] is wanted next.
+    /// Returns when [`Rebalancer::plan_moves`] should be called next.
     pub fn next_due(&self, now: Micros) -> Micros {
         let next_check = self.last_check.map_or(now, |at| at.saturating_add(CHECK_INTERVAL_US));
         next_check.max(self.paused_until.unwrap_or(0))
     }
 
-    /// What is to be told since it was last asked.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<PlanEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Looks at the books, if it is time: who is to be asked to come again now.
+    /// Runs a check if it is due, and returns the connections to be asked to reconnect now.
     pub fn plan_moves(&mut self, now: Micros, view: impl FnOnce() -> View) -> Vec<CallId> {
         if now < self.next_due(now) {
             return Vec::new();
@@ -167,7 +173,7 @@
             })
             .filter(|s| balance.move_helps(s.at, s.home, s.load))
             .collect();
-        // Worth least first, then group by group; of one group the light ones first.
+        // Lowest worth first, then group by group; within a group the lightest first.
         let rank = |s: &Stray| self.class_ranks.get(s.class).copied().unwrap_or(0);
         candidates.sort_by(|a, b| {
             (rank(a), a.at, a.point)
