--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -1,5 +1,5 @@
-//! Stories of teams under contract: the program itself between stand-in teams and session servers on loopback.
-//! What is measured here are ratios of two runs, so that a slow machine is slow in both.
+//! Tests of teams under contract: the program between simulated clients and session servers on loopback. Service is
+//! compared between two runs, so that a slow machine slows both.
 
 mod crowd;
 mod peers;
@@ -7,37 +7,37 @@
 use peers::*;
 use std::time::{Duration, Instant};
 
-/// Guards against one team's flood taking what the others were promised.
+/// Guards against a flood of one team that takes the contracts of others.
 #[test]
-fn a_flood_of_ten_times_a_contract_leaves_the_others_their_service() {
+fn a_flood_of_ten_times_a_contract_leaves_other_teams_95_percent_of_their_service() {
     let operator = contracts(60, &[("north", 20, ""), ("east", 20, ""), ("south", 20, "")]);
     let life = Duration::from_millis(900);
     let quiet = |team| Habit { life, ..habit(team, 20) };
     let run = |flood: usize| {
         let balancer = Balancer::start(&Discovery::quiet(), &servers(), Some(&operator));
-        // The flood heeds no time longer than a tenth of a second.
+        // The flooding clients retry after a tenth of a second at the latest, whatever retry-after they get.
         let flood = Habit { life, patience: Duration::from_millis(100), ..habit("south", flood) };
         let teams = [(0, quiet("north")), (0, quiet("east")), (300, flood)];
         play(balancer.lines, &teams, Duration::from_secs(5), |_, _| ())
     };
-    let (calm, flooded) = (run(0), run(200));
+    let (without_flood, with_flood) = (run(0), run(200));
     for team in ["north", "east"] {
-        let kept = flooded[team].seconds / calm[team].seconds;
-        assert!(kept >= 0.95, "{team} kept {kept:.3}: {:?} of {:?}", flooded[team], calm[team]);
-        assert_eq!((flooded[team].cut, flooded[team].moved), (0, 0), "{:?}", flooded[team]);
+        let kept = with_flood[team].seconds / without_flood[team].seconds;
+        assert!(kept >= 0.95, "{team} kept {kept:.3}: {:?} of {:?}", with_flood[team], without_flood[team]);
+        assert_eq!((with_flood[team].cut, with_flood[team].moved), (0, 0), "{:?}", with_flood[team]);
     }
-    assert!(flooded["south"].busy > 1000, "it was a flood: {:?}", flooded["south"]);
-    assert!(flooded["south"].seconds >= 0.8 * 20.0 * 4.7, "{:?}", flooded["south"]);
+    assert!(with_flood["south"].busy > 1000, "it was a flood: {:?}", with_flood["south"]);
+    assert!(with_flood["south"].seconds >= 0.8 * 20.0 * 4.7, "{:?}", with_flood["south"]);
 }
 
-/// Guards against room that stays unused, and against an owner that has to wait for its own.
+/// Guards against capacity that stays unused, and against a team that waits too long for its own contract.
 #[test]
-fn what_is_idle_is_lent_and_given_back_when_its_owner_asks_again_as_told_and_the_account_says_so() {
+fn idle_capacity_is_lent_and_returned_within_two_seconds_and_the_account_matches_the_clients() {
     let operator = contracts(60, &[("north", 20, ""), ("east", 20, ""), ("idle", 20, "")]);
     let balancer = Balancer::with(&Discovery::quiet(), &servers(), Some(&operator), SETTINGS, "json");
     let mut lent = 0;
     let teams = [(0, habit("east", 20)), (0, habit("north", 200)), (2_500, habit("idle", 20))];
-    let begun = Instant::now();
+    let started = Instant::now();
     let seen = play(balancer.lines, &teams, Duration::from_secs(6), |at, book| {
         if at < Duration::from_millis(2_400) {
             lent = book.borrow().get("north").map_or(0, |s| s.held);
@@ -45,11 +45,11 @@
     });
     assert!(lent >= 20 + 18, "90% of the twenty that were idle: {lent}");
     let (most, last) = seen["idle"].most;
-    let took = last.unwrap() - begun - Duration::from_millis(2_500);
+    let took = last.unwrap() - started - Duration::from_millis(2_500);
     assert!(most == 20 && took <= Duration::from_secs(2), "{most} after {took:?}: {:?}", seen["idle"]);
-    assert!(seen.values().all(|s| s.cut == 0), "nobody was cut off: {seen:?}");
+    assert!(seen.values().all(|s| s.cut == 0), "no connection was closed by force: {seen:?}");
     assert!(seen["north"].moved >= 18 && seen["east"].moved == 0 && seen["idle"].moved == 0, "{seen:?}");
-    // All clients are gone: what the account says is what they counted.
+    // All clients have left: the account must match their own counts.
     let log = balancer.finish();
     let path = std::env::temp_dir().join(format!("oakdeal-account-{}.log", std::process::id()));
     std::fs::write(&path, log.join("\n")).unwrap();
@@ -63,13 +63,13 @@
         let account = &last.expect("an account")["fields"];
         let reasons = account.as_object().unwrap().iter().filter(|(key, _)| key.starts_with("refused_"));
         let refused: u64 = reasons.map(|(_, n)| n.as_u64().unwrap()).sum();
-        let told = |key: &str| account[key].as_u64().unwrap();
+        let field = |key: &str| account[key].as_u64().unwrap();
         assert_eq!(
-            (told("asked"), told("served"), refused, told("moved"), told("held")),
+            (field("asked"), field("served"), refused, field("moved"), field("held")),
             (seen.asked, seen.up, seen.busy, seen.moved, 0),
             "{team}: {account}"
         );
-        assert_eq!(told("within") + told("borrowed"), seen.up, "{team}");
+        assert_eq!(field("within") + field("borrowed"), seen.up, "{team}");
         let row = table.lines().find(|row| row.split_whitespace().next() == Some(team)).expect("a row");
         let asked = row.split_whitespace().nth(1).map(str::parse);
         assert_eq!(asked, Some(Ok(seen.asked)), "{table}");
@@ -78,9 +78,10 @@
     }
 }
 
-/// Guards against a change that waits for a restart, one that cuts clients off, and a broken one in force.
+/// Guards against a change of contracts that waits for a restart or closes connections by force, and against applying a
+/// broken file.
 #[test]
-fn a_contract_cut_in_a_surge_is_in_force_within_two_seconds_and_a_broken_file_changes_nothing() {
+fn a_contract_reduced_under_load_is_in_force_within_two_seconds_and_a_broken_file_changes_nothing() {
     let file = |n| contracts(60, &[("north", n, "borrow = false"), ("east", 20, "")]);
     let balancer = Balancer::start(&Discovery::quiet(), &servers(), Some(&file(40)));
     let (mut cut, mut broken, mut held) = (None, false, Vec::new());
@@ -110,9 +111,9 @@
     assert!(refused.contains("oakdeal.toml:3:") && refused.contains("`conections`"), "{refused}");
 }
 
-/// Guards against a start with contracts that nobody meant, and messages that leave the mend to be guessed.
+/// Guards against starting with unintended contracts, and against messages that do not say how to correct the file.
 #[test]
-fn a_broken_file_at_the_start_is_one_message_with_file_line_and_mend() {
+fn a_broken_file_at_the_start_gives_one_message_with_file_line_and_correction() {
     let dir = std::env::temp_dir().join(format!("oakdeal-broken-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let path = dir.join("oakdeal.toml");
@@ -140,8 +141,8 @@
         ("[unheard]", 4, "unknown field `unheard`"),
         ("name = ", 4, "docs/contracts.md"),
     ];
-    for (more, line, mend) in cases {
-        std::fs::write(&path, format!("{head}{more}\n")).unwrap();
+    for (added_text, line, correction) in cases {
+        std::fs::write(&path, format!("{head}{added_text}\n")).unwrap();
         for arguments in
             [&["check", path.to_str().unwrap()][..], &["serve", "--operator", path.to_str().unwrap()]]
         {
@@ -151,12 +152,12 @@
                 format!(r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{SETTINGS}}}"#);
             std::fs::write(dir.join("config.json"), config).unwrap();
             let done = command.output().unwrap();
-            let said = String::from_utf8(done.stderr).unwrap();
-            assert_eq!(done.status.code(), Some(1), "{more}: {said}");
-            assert_eq!(said.lines().count(), 1, "{more}: {said}");
+            let stderr = String::from_utf8(done.stderr).unwrap();
+            assert_eq!(done.status.code(), Some(1), "{added_text}: {stderr}");
+            assert_eq!(stderr.lines().count(), 1, "{added_text}: {stderr}");
             assert!(
-                said.contains(&format!("oakdeal.toml:{line}: ")) && said.contains(mend),
-                "{more}: {said}"
+                stderr.contains(&format!("oakdeal.toml:{line}: ")) && stderr.contains(correction),
+                "{added_text}: {stderr}"
             );
         }
     }
@@ -164,7 +165,7 @@
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_oakdeal"));
     let done =
         command.args(["serve", "--operator"]).arg(&path).env("LB_CONFIG", dir.join("config.json")).output();
-    let said = String::from_utf8(done.unwrap().stderr).unwrap();
-    assert!(said.contains("names the class \"nobody\""), "{said}");
+    let stderr = String::from_utf8(done.unwrap().stderr).unwrap();
+    assert!(stderr.contains("names the class \"nobody\""), "{stderr}");
     let _ = std::fs::remove_dir_all(dir);
 }
