--- a/src/contracts/admission.rs
+++ b/src/contracts/admission.rs
@@ -25,7 +25,8 @@
 const MOVE_HYSTERESIS: f64 = 0.1;
 /// The capacity where nothing bounds it, in connections.
 pub const UNBOUNDED_CAPACITY: u64 = u64::MAX / 4;
-/// Units of [`Share::borrowed_per_weight`] for one borrowed connection at weight 1: whole numbers order exactly.
+/// Units of [`Share::borrowed_per_weight`] for one borrowed connection at weight 1: values are kept in whole
+/// millionths.
 const BORROWED_SCALE: f64 = 1e6;
 
 /// The number of a team in the [`SharePool`].
@@ -160,44 +161,44 @@
     }
 
     fn remove_from_totals(&mut self, team: TeamId) {
-        let s = &self.shares[team];
-        self.held -= u64::from(s.held);
-        self.leaving -= u64::from(s.leaving);
-        self.committed -= u64::from(s.held.max(s.reserved));
-        self.waiting_within_contract -= u64::from(s.waiting_within_contract());
-        self.borrowers.remove(&(s.borrowed_per_weight(0), team));
-        self.waiting_borrowers.remove(&(s.borrowed_per_weight(0), team));
+        let share = &self.shares[team];
+        self.held -= u64::from(share.held);
+        self.leaving -= u64::from(share.leaving);
+        self.committed -= u64::from(share.held.max(share.reserved));
+        self.waiting_within_contract -= u64::from(share.waiting_within_contract());
+        self.borrowers.remove(&(share.borrowed_per_weight(0), team));
+        self.waiting_borrowers.remove(&(share.borrowed_per_weight(0), team));
         self.over_without_borrowing.remove(&team);
     }
 
     fn add_to_totals(&mut self, team: TeamId) {
-        let s = &self.shares[team];
-        self.held += u64::from(s.held);
-        self.leaving += u64::from(s.leaving);
-        self.committed += u64::from(s.held.max(s.reserved));
-        self.waiting_within_contract += u64::from(s.waiting_within_contract());
-        if s.over_contract() > 0 {
-            self.borrowers.insert((s.borrowed_per_weight(0), team));
-            if !s.may_borrow {
+        let share = &self.shares[team];
+        self.held += u64::from(share.held);
+        self.leaving += u64::from(share.leaving);
+        self.committed += u64::from(share.held.max(share.reserved));
+        self.waiting_within_contract += u64::from(share.waiting_within_contract());
+        if share.over_contract() > 0 {
+            self.borrowers.insert((share.borrowed_per_weight(0), team));
+            if !share.may_borrow {
                 self.over_without_borrowing.insert(team);
             }
         }
-        if s.waits_to_borrow() {
-            self.waiting_borrowers.insert((s.borrowed_per_weight(0), team));
+        if share.waits_to_borrow() {
+            self.waiting_borrowers.insert((share.borrowed_per_weight(0), team));
         }
     }
 
     /// Decides whether one more connection of a team may be admitted, and returns whether it would be borrowed.
     pub fn check_admission(&self, team: TeamId) -> Result<bool, Reason> {
-        let s = &self.shares[team];
-        if s.held < s.contract {
+        let share = &self.shares[team];
+        if share.held < share.contract {
             return match self.held < self.capacity {
                 true => Ok(false),
                 false if self.borrowers.is_empty() && self.leaving == 0 => Err(Reason::Full),
                 false => Err(Reason::Reclaim),
             };
         }
-        if !s.may_borrow {
+        if !share.may_borrow {
             return Err(Reason::Contract);
         }
         if self.committed >= self.capacity {
@@ -206,7 +207,7 @@
         let next_borrower =
             self.waiting_borrowers.iter().map(|&(_, other)| other).find(|&other| other != team);
         match next_borrower
-            .is_some_and(|other| self.shares[other].borrowed_per_weight(1) <= s.borrowed_per_weight(0))
+            .is_some_and(|other| self.shares[other].borrowed_per_weight(1) <= share.borrowed_per_weight(0))
         {
             true => Err(Reason::Share),
             false => Ok(true),
@@ -252,19 +253,20 @@
     /// Checks that the sums and orders match the shares. For tests.
     pub fn validate(&self) -> Result<(), String> {
         let mut sums = (0, 0, 0, 0);
-        for (team, s) in self.shares.iter().enumerate() {
-            sums.0 += u64::from(s.held);
-            sums.1 += u64::from(s.leaving);
-            sums.2 += u64::from(s.held.max(s.reserved));
-            sums.3 += u64::from(s.waiting_within_contract());
-            let in_borrowers = self.borrowers.contains(&(s.borrowed_per_weight(0), team));
-            if in_borrowers != (s.over_contract() > 0)
-                || self.waiting_borrowers.contains(&(s.borrowed_per_weight(0), team)) != s.waits_to_borrow()
+        for (team, share) in self.shares.iter().enumerate() {
+            sums.0 += u64::from(share.held);
+            sums.1 += u64::from(share.leaving);
+            sums.2 += u64::from(share.held.max(share.reserved));
+            sums.3 += u64::from(share.waiting_within_contract());
+            let in_borrowers = self.borrowers.contains(&(share.borrowed_per_weight(0), team));
+            if in_borrowers != (share.over_contract() > 0)
+                || self.waiting_borrowers.contains(&(share.borrowed_per_weight(0), team))
+                    != share.waits_to_borrow()
             {
-                return Err(format!("team {team} is wrongly in or missing from an order: {s:?}"));
+                return Err(format!("team {team} is wrongly in or missing from an order: {share:?}"));
             }
-            if s.reserved > s.contract || s.leaving > s.held {
-                return Err(format!("team {team}: {s:?}"));
+            if share.reserved > share.contract || share.leaving > share.held {
+                return Err(format!("team {team}: {share:?}"));
             }
         }
         let stored = (self.held, self.leaving, self.committed, self.waiting_within_contract);
--- a/src/contracts/capacity.rs
+++ b/src/contracts/capacity.rs
@@ -61,10 +61,11 @@
     /// Records that an attempt at an instance was served, or that it could not connect or was not answered. Returns
     /// whether the instance went down or came up.
     pub fn record_attempt(&mut self, host: HostId, served: bool) -> bool {
-        let Some(i) = self.ready.get_mut(&host) else { return false };
-        let before = i.consecutive_failures >= DOWN_AFTER_FAILURES;
-        i.consecutive_failures = if served { 0 } else { i.consecutive_failures.saturating_add(1) };
-        before != (i.consecutive_failures >= DOWN_AFTER_FAILURES)
+        let Some(instance) = self.ready.get_mut(&host) else { return false };
+        let was_down = instance.consecutive_failures >= DOWN_AFTER_FAILURES;
+        instance.consecutive_failures =
+            if served { 0 } else { instance.consecutive_failures.saturating_add(1) };
+        was_down != (instance.consecutive_failures >= DOWN_AFTER_FAILURES)
     }
 
     /// Returns the total size of the instances that are ready and not known to be down.
--- a/src/contracts/contract.rs
+++ b/src/contracts/contract.rs
@@ -164,80 +164,86 @@
     Ok(())
 }
 
-fn contract_error(c: &Contract) -> Option<(&'static str, String)> {
+fn contract_error(contract: &Contract) -> Option<(&'static str, String)> {
     let is_allowed = |ch: char| !ch.is_control() && !matches!(ch, ' ' | ',' | '=' | '"');
     let positive = |v: f64| v.is_finite() && v > 0.0;
-    if c.team.is_empty() || !c.team.chars().all(is_allowed) || c.team.len() > MAX_TEAM_NAME_BYTES {
+    if contract.team.is_empty()
+        || !contract.team.chars().all(is_allowed)
+        || contract.team.len() > MAX_TEAM_NAME_BYTES
+    {
         let text =
             "must be 1 to 255 characters without spaces, commas, quotes and `=`: clients say it as `t=NAME`";
         return Some(("name", text.into()));
     }
-    if c.classes.as_ref().is_some_and(Vec::is_empty) {
+    if contract.classes.as_ref().is_some_and(Vec::is_empty) {
         return Some(("classes", "names none, so nothing could be served: leave it out for all".into()));
     }
-    if !c.connections.is_finite() || c.connections < 0.0 || (c.connections < 1.0 && &*c.team != OTHERS) {
-        return Some(("connections", format!("must be 1 or more, not {}", c.connections)));
+    if !contract.connections.is_finite()
+        || contract.connections < 0.0
+        || (contract.connections < 1.0 && &*contract.team != OTHERS)
+    {
+        return Some(("connections", format!("must be 1 or more, not {}", contract.connections)));
     }
-    if !positive(c.weight) || c.weight > MAX_WEIGHT {
-        return Some(("weight", format!("must be more than 0 and at most 1000000, not {}", c.weight)));
+    if !positive(contract.weight) || contract.weight > MAX_WEIGHT {
+        return Some(("weight", format!("must be more than 0 and at most 1000000, not {}", contract.weight)));
     }
-    if !c.borrow && c.weight != 1.0 {
+    if !contract.borrow && contract.weight != 1.0 {
         let text = "is its part of what others leave idle, but `borrow = false`: leave one of the two out";
         return Some(("weight", text.into()));
     }
-    if let Some(r) = c.rate {
-        if !positive(r.per_second) {
-            return Some(("rate", format!("must be more than 0 a second, not {}", r.per_second)));
+    if let Some(rate) = contract.rate {
+        if !positive(rate.per_second) {
+            return Some(("rate", format!("must be more than 0 a second, not {}", rate.per_second)));
         }
-        if !r.burst.is_finite() || r.burst < 1.0 {
-            return Some(("burst", format!("must be 1 or more, not {}", r.burst)));
+        if !rate.burst.is_finite() || rate.burst < 1.0 {
+            return Some(("burst", format!("must be 1 or more, not {}", rate.burst)));
         }
-        if !c.borrow && r.burst > c.connections {
+        if !contract.borrow && rate.burst > contract.connections {
             let text = format!(
                 "of {} can never come: `connections` is {} and `borrow = false`; lower it",
-                r.burst, c.connections
+                rate.burst, contract.connections
             );
             return Some(("burst", text));
         }
     }
-    if let Some(b) = c.budget {
-        if !b.seconds.is_finite() || b.seconds < MIN_BUDGET_SECONDS {
+    if let Some(budget) = contract.budget {
+        if !budget.seconds.is_finite() || budget.seconds < MIN_BUDGET_SECONDS {
             return Some((
                 "budget",
-                format!("must hold {MIN_BUDGET_SECONDS} second or more, not {}", b.seconds),
+                format!("must hold {MIN_BUDGET_SECONDS} second or more, not {}", budget.seconds),
             ));
         }
-        if b.period == 0 {
+        if budget.period == 0 {
             return Some(("budget", "needs a span of more than 0 in `per`".into()));
         }
         // With a tolerance for values that were computed.
-        if b.sustained_connections() > c.connections * (1.0 + BUDGET_TOLERANCE) {
-            let most = c.connections * b.period as f64 / MICROS_PER_SECOND;
+        if budget.sustained_connections() > contract.connections * (1.0 + BUDGET_TOLERANCE) {
+            let most = contract.connections * budget.period as f64 / MICROS_PER_SECOND;
             let text = format!(
                 "of {} seconds can never be used up: {} connections use {most} in its span; lower it, or leave it out",
-                b.seconds, c.connections
+                budget.seconds, contract.connections
             );
             return Some(("budget", text));
         }
     }
-    if c.deadline == Some(0) {
+    if contract.deadline == Some(0) {
         return Some(("deadline", "must be more than 0".into()));
     }
-    if c.attempts == Some(0) {
+    if contract.attempts == Some(0) {
         return Some(("attempts", "must be 1 or more, not 0".into()));
     }
-    if let Some(r) = c.retry {
-        if c.attempts == Some(1) {
+    if let Some(retry) = contract.retry {
+        if contract.attempts == Some(1) {
             let text = "allows further attempts, but `attempts = 1` allows none: leave one of the two out";
             return Some(("retry", text.into()));
         }
-        if r.span == 0 {
+        if retry.span == 0 {
             return Some(("retry", "needs a span of more than 0 in `per`".into()));
         }
-        if !r.free.is_finite()
-            || r.free < 0.0
-            || !r.share.is_finite()
-            || !(0.0..=MAX_RETRY_SHARE).contains(&r.share)
+        if !retry.free.is_finite()
+            || retry.free < 0.0
+            || !retry.share.is_finite()
+            || !(0.0..=MAX_RETRY_SHARE).contains(&retry.share)
         {
             return Some(("retry", "needs `free` of 0 or more and a `share` from 0 to 10".into()));
         }
--- a/src/contracts/mod.rs
+++ b/src/contracts/mod.rs
@@ -82,7 +82,7 @@
 /// How an admitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// No instance could take it.
+    /// No instance could take the request.
     NoInstance,
     /// The request failed, or its client left, before the connection was established.
     NotEstablished,
@@ -123,7 +123,7 @@
     rate: Option<TokenBucket>,
     meter: Option<BudgetMeter>,
     ledger: Ledger,
-    movable: MoveQueue,
+    move_queue: MoveQueue,
     /// When the contract is to be refreshed next.
     due: Option<Micros>,
 }
@@ -143,21 +143,23 @@
 pub struct Contracts {
     settings: FixedSettings,
     terms: Terms,
-    ranks: Vec<u32>,
+    class_ranks: Vec<u32>,
     teams: Vec<Team>,
     by_name: BTreeMap<Arc<str>, TeamId>,
     /// By class: the team whose contract is the only one that names it.
     sole_team_by_class: Vec<Option<TeamId>>,
-    others: TeamId,
+    others_team: TeamId,
     pool: SharePool,
     capacity: Capacity,
-    pace: ReclaimPace,
+    reclaim_pace: ReclaimPace,
     entries: Vec<Option<Entry>>,
     free_slots: Vec<usize>,
     entries_added: u64,
     refused_total: u64,
+    /// When each team is to be refreshed next, earliest first.
     due: BTreeSet<(Micros, TeamId)>,
     last_capacity_check: Micros,
+    /// The part of each contract that applies: less than 1 while the capacity is less than their sum.
     reduction: f64,
 }
 
@@ -166,14 +168,14 @@
     pub fn new(now: Micros, settings: FixedSettings, terms: Terms) -> Contracts {
         let worths: Vec<f64> = settings.classes.iter().map(|c| c.1).collect();
         let part = 1.0 / f64::from(settings.balancers.max(1));
-        let mut all = Contracts {
-            ranks: ranks(&worths),
-            pace: ReclaimPace::new(now, terms.reclaim_rate, part),
+        let mut contracts = Contracts {
+            class_ranks: ranks(&worths),
+            reclaim_pace: ReclaimPace::new(now, terms.reclaim_rate, part),
             terms: Terms::default(),
             teams: Vec::new(),
             by_name: BTreeMap::new(),
             sole_team_by_class: vec![None; settings.classes.len()],
-            others: 0,
+            others_team: 0,
             pool: SharePool::new(),
             capacity: Capacity::default(),
             entries: Vec::new(),
@@ -185,9 +187,9 @@
             reduction: 1.0,
             settings,
         };
-        all.others = all.add_or_find_team(now, &Contract::none(OTHERS));
-        all.apply_terms(now, terms);
-        all
+        contracts.others_team = contracts.add_or_find_team(now, &Contract::none(OTHERS));
+        contracts.apply_terms(now, terms);
+        contracts
     }
 
     /// Returns this balancer's part of a fleet figure.
@@ -211,7 +213,7 @@
     pub fn resolve_team(&self, name: Option<&str>, class: usize) -> TeamId {
         let named = name.and_then(|name| self.by_name.get(name)).copied();
         let named = named.filter(|&team| !self.teams[team].removed);
-        named.or_else(|| self.sole_team_by_class.get(class).copied().flatten()).unwrap_or(self.others)
+        named.or_else(|| self.sole_team_by_class.get(class).copied().flatten()).unwrap_or(self.others_team)
     }
 
     /// Returns the number of the team, and adds the team if it is new.
@@ -228,7 +230,7 @@
             rate: contract.rate.map(|rate| TokenBucket::new(now, self.local_rate(rate))),
             meter: contract.budget.map(|b| BudgetMeter::new(now, b, self.part())),
             ledger: Ledger::new(now),
-            movable: MoveQueue::default(),
+            move_queue: MoveQueue::default(),
             due: None,
         });
         self.by_name.insert(contract.team.clone(), team);
@@ -262,25 +264,25 @@
             classes.iter().flatten().for_each(|&class| teams_naming_class[class].push(team));
             let (rate, part) = (contract.rate.map(|rate| self.local_rate(rate)), self.part());
             let drawing = self.drawing_connections(team);
-            let t = &mut self.teams[team];
-            match (&mut t.rate, rate) {
+            let state = &mut self.teams[team];
+            match (&mut state.rate, rate) {
                 (Some(tokens), Some(rate)) => tokens.set_rate(now, rate),
                 (tokens, rate) => *tokens = rate.map(|rate| TokenBucket::new(now, rate)),
             }
-            match (&mut t.meter, contract.budget) {
+            match (&mut state.meter, contract.budget) {
                 (Some(meter), Some(budget)) => meter.set_budget(now, drawing, budget, part),
                 (meter, budget) => *meter = budget.map(|b| BudgetMeter::new(now, b, part)),
             }
-            (t.classes, t.removed) = (classes, false);
+            (state.classes, state.removed) = (classes, false);
             let (weight, may_borrow) = (contract.weight, contract.borrow);
-            t.contract = contract;
-            self.pool.update(team, |s| (s.weight, s.may_borrow) = (weight, may_borrow));
+            state.contract = contract;
+            self.pool.update(team, |share| (share.weight, share.may_borrow) = (weight, may_borrow));
         }
         for team in (0..self.teams.len()).filter(|team| !in_terms.contains(team)) {
-            let t = &mut self.teams[team];
-            t.contract = Contract { borrow: false, ..Contract::none(&t.contract.team) };
-            (t.removed, t.rate, t.meter) = (true, None, None);
-            self.pool.update(team, |s| (s.may_borrow, s.waiting) = (false, 0));
+            let state = &mut self.teams[team];
+            state.contract = Contract { borrow: false, ..Contract::none(&state.contract.team) };
+            (state.removed, state.rate, state.meter) = (true, None, None);
+            self.pool.update(team, |share| (share.may_borrow, share.waiting) = (false, 0));
         }
         let sole_team = |teams: Vec<TeamId>| match teams[..] {
             [team] => Some(team),
@@ -318,7 +320,7 @@
         self.pool.set_capacity(capacity.map_or(UNBOUNDED_CAPACITY, |c| c as u64));
         let sum: f64 = self.terms.contracts.iter().map(|c| c.connections).sum::<f64>() * self.part();
         self.reduction = capacity.map_or(1.0, |c| (c.floor() / sum.max(f64::MIN_POSITIVE)).min(1.0));
-        self.pace.update(now, self.terms.reclaim_rate, capacity);
+        self.reclaim_pace.update(now, self.terms.reclaim_rate, capacity);
         for team in 0..self.teams.len() {
             self.refresh_team(now, team);
         }
@@ -332,29 +334,29 @@
     /// Returns the connections that the contract of a team allows now: its part at this balancer, reduced in
     /// proportion with all others, and no more than a used-up budget earns.
     fn allowed_connections(&self, team: TeamId) -> u32 {
-        let t = &self.teams[team];
-        let most = t.contract.connections * self.part() * self.reduction;
-        let earned = t
+        let state = &self.teams[team];
+        let full_contract = state.contract.connections * self.part() * self.reduction;
+        let earned = state
             .meter
             .as_ref()
             .filter(|m| m.is_exhausted())
             .map_or(f64::INFINITY, BudgetMeter::sustained_connections);
         // Rounded up: a contract of less than one connection for each balancer would otherwise be 0 at all of them.
-        (most.min(earned) - ROUNDING_TOLERANCE).ceil().max(0.0) as u32
+        (full_contract.min(earned) - ROUNDING_TOLERANCE).ceil().max(0.0) as u32
     }
 
     /// Returns the number of connections that use the budget of a team.
     fn drawing_connections(&self, team: TeamId) -> u32 {
-        let s = self.pool.share(team);
-        s.held.min(s.contract)
+        let share = self.pool.share(team);
+        share.held.min(share.contract)
     }
 
     /// Advances the ledger and the budget of a team to `now`.
     fn advance_team(&mut self, now: Micros, team: TeamId) {
         let (held, contract) = (self.pool.share(team).held, self.pool.share(team).contract);
-        let t = &mut self.teams[team];
-        t.ledger.advance(now, held, contract);
-        if let Some(meter) = &mut t.meter {
+        let state = &mut self.teams[team];
+        state.ledger.advance(now, held, contract);
+        if let Some(meter) = &mut state.meter {
             meter.advance(now, held.min(contract));
         }
     }
@@ -364,18 +366,18 @@
         self.advance_team(now, team);
         let contract = self.allowed_connections(team);
         if self.pool.share(team).contract != contract {
-            self.pool.update(team, |s| s.contract = contract);
+            self.pool.update(team, |share| share.contract = contract);
         }
         let drawing = self.drawing_connections(team);
         let transition = self.teams[team].meter.as_ref().and_then(|m| m.next_transition(drawing));
         let idle_at = self.pool.share(team).last_request.saturating_add(self.idle_after());
         let reserve_expiry = self.pool.has_releasable_reserve(team).then_some(idle_at);
         let due = transition.into_iter().chain(reserve_expiry).min();
-        let t = &mut self.teams[team];
-        if t.due != due {
-            t.due.take().map(|at| self.due.remove(&(at, team)));
+        let state = &mut self.teams[team];
+        if state.due != due {
+            state.due.take().map(|at| self.due.remove(&(at, team)));
             due.map(|at| self.due.insert((at, team)));
-            t.due = due;
+            state.due = due;
         }
     }
 
@@ -392,34 +394,34 @@
         call: &CallId,
     ) -> Result<Ticket, Refusal> {
         self.advance_team(now, team);
-        let t = &mut self.teams[team];
-        t.ledger.asked += 1;
-        let named = t.classes.as_ref().is_none_or(|all| all.contains(&class));
-        let within_rate = t.rate.as_mut().is_none_or(|rate| rate.has_token(now));
-        let verdict = match (named && !t.removed, within_rate) {
+        let state = &mut self.teams[team];
+        state.ledger.asked += 1;
+        let class_included = state.classes.as_ref().is_none_or(|all| all.contains(&class));
+        let within_rate = state.rate.as_mut().is_none_or(|rate| rate.has_token(now));
+        let verdict = match (class_included && !state.removed, within_rate) {
             (false, _) => Err(Reason::Class),
             (_, false) => Err(Reason::Rate),
             _ => self.pool.check_admission(team),
         };
-        let exhausted = t.meter.as_ref().is_some_and(BudgetMeter::is_exhausted);
+        let exhausted = state.meter.as_ref().is_some_and(BudgetMeter::is_exhausted);
         let verdict = match verdict {
             Err(Reason::Contract) if exhausted => Err(Reason::Budget),
             other => other,
         };
         let result = match verdict {
             Ok(borrows) => {
-                let t = &mut self.teams[team];
-                t.rate.iter_mut().for_each(|rate| rate.take(now));
-                *(if borrows { &mut t.ledger.borrowed } else { &mut t.ledger.within }) += 1;
+                let state = &mut self.teams[team];
+                state.rate.iter_mut().for_each(|rate| rate.take(now));
+                *(if borrows { &mut state.ledger.borrowed } else { &mut state.ledger.within }) += 1;
                 Ok(self.add_entry(now, team, class, call, true))
             }
             Err(reason) => {
                 self.teams[team].ledger.record_refusal(reason);
                 let may_retry =
                     matches!(reason, Reason::Reclaim | Reason::Full | Reason::Idle | Reason::Share);
-                self.pool.update(team, |s| {
-                    s.last_request = now;
-                    s.waiting = s.waiting.saturating_add(u32::from(may_retry));
+                self.pool.update(team, |share| {
+                    share.last_request = now;
+                    share.waiting = share.waiting.saturating_add(u32::from(may_retry));
                 });
                 Err(Refusal { reason, retry_after: self.retry_after(now, team, reason) })
             }
@@ -438,8 +440,8 @@
         ticket
     }
 
-    /// Counts a connection or attempt that was there before the contracts were in force. It adds nothing to the count of
-    /// requests.
+    /// Counts a connection or attempt that was there before the contracts were in force. It adds nothing to the count
+    /// of requests.
     pub fn count_existing(&mut self, now: Micros, team: TeamId, class: usize, call: &CallId) -> Ticket {
         self.advance_team(now, team);
         let ticket = self.add_entry(now, team, class, call, false);
@@ -447,7 +449,14 @@
         ticket
     }
 
-    fn add_entry(&mut self, now: Micros, team: TeamId, class: usize, call: &CallId, asked: bool) -> Ticket {
+    fn add_entry(
+        &mut self,
+        now: Micros,
+        team: TeamId,
+        class: usize,
+        call: &CallId,
+        is_new_request: bool,
+    ) -> Ticket {
         self.entries_added += 1;
         let number = self.entries_added;
         let entry = Entry { call: call.clone(), team, class, number, established: false, leaving: false };
@@ -457,10 +466,10 @@
         });
         self.entries[slot] = Some(entry);
         self.teams[team].ledger.count_connection(now, class, true);
-        self.pool.update(team, |s| {
-            s.held += 1;
-            if asked {
-                (s.last_request, s.waiting) = (now, s.waiting.saturating_sub(1));
+        self.pool.update(team, |share| {
+            share.held += 1;
+            if is_new_request {
+                (share.last_request, share.waiting) = (now, share.waiting.saturating_sub(1));
             }
         });
         Ticket(slot)
@@ -472,23 +481,25 @@
         self.refused_total += 1;
         // Clients that are refused together must not retry together: the factor is between 0.5 and 1.5.
         let spread = 0.5 + (self.refused_total as f64 * GOLDEN_RATIO_PART).fract();
+        // The expected time until one of the held connections ends, spread as above.
         let turnover = |lifetime: Option<Micros>, held: u64| {
             (lifetime.unwrap_or(DEFAULT_LIFETIME_US) as f64 / held.max(1) as f64 * spread) as Micros
         };
-        let s = self.pool.share(team);
-        let (held, all) = (u64::from(s.held), self.pool.held());
-        let t = &mut self.teams[team];
-        let lifetime = t.ledger.mean_lifetime(now);
+        let share = self.pool.share(team);
+        let (team_held, total_held) = (u64::from(share.held), self.pool.held());
+        let state = &mut self.teams[team];
+        let lifetime = state.ledger.mean_lifetime(now);
         let after = match reason {
             Reason::Class => max_retry_after,
-            Reason::Rate => t.rate.as_mut().map_or(max_retry_after, |rate| rate.time_until_token(now)),
-            Reason::Contract => turnover(lifetime, held),
+            Reason::Rate => state.rate.as_mut().map_or(max_retry_after, |rate| rate.time_until_token(now)),
+            Reason::Contract => turnover(lifetime, team_held),
             Reason::Budget => {
-                let whole = t.meter.as_ref().map_or(max_retry_after, BudgetMeter::time_until_full);
-                turnover(lifetime, held).min(whole)
+                let budget_full_in =
+                    state.meter.as_ref().map_or(max_retry_after, BudgetMeter::time_until_full);
+                turnover(lifetime, team_held).min(budget_full_in)
             }
-            Reason::Reclaim => self.pace.duration_of(self.pool.moves_needed()) + RECLAIM_MARGIN_US,
-            Reason::Idle | Reason::Share | Reason::Full | Reason::Placement => turnover(lifetime, all),
+            Reason::Reclaim => self.reclaim_pace.duration_of(self.pool.moves_needed()) + RECLAIM_MARGIN_US,
+            Reason::Idle | Reason::Share | Reason::Full | Reason::Placement => turnover(lifetime, total_held),
         };
         Some(after.clamp(MIN_RETRY_AFTER_US.min(max_retry_after), max_retry_after))
     }
@@ -499,7 +510,7 @@
         if !std::mem::replace(&mut entry.established, true) {
             let team = &mut self.teams[entry.team];
             team.ledger.served += 1;
-            team.movable.insert(rank(&self.ranks, entry.class), entry.number, ticket.0);
+            team.move_queue.insert(rank(&self.class_ranks, entry.class), entry.number, ticket.0);
         }
     }
 
@@ -509,17 +520,17 @@
         self.free_slots.push(ticket.0);
         let team = entry.team;
         self.advance_team(now, team);
-        let t = &mut self.teams[team];
-        t.movable.remove(rank(&self.ranks, entry.class), entry.number, ticket.0);
-        t.ledger.count_connection(now, entry.class, false);
+        let state = &mut self.teams[team];
+        state.move_queue.remove(rank(&self.class_ranks, entry.class), entry.number, ticket.0);
+        state.ledger.count_connection(now, entry.class, false);
         match end {
-            EndReason::NoInstance => t.ledger.record_refusal(Reason::Placement),
-            EndReason::NotEstablished => t.ledger.lost += 1,
-            EndReason::Closed => t.ledger.ended += 1,
+            EndReason::NoInstance => state.ledger.record_refusal(Reason::Placement),
+            EndReason::NotEstablished => state.ledger.lost += 1,
+            EndReason::Closed => state.ledger.ended += 1,
         }
-        self.pool.update(team, |s| {
-            s.held -= 1;
-            s.leaving -= u32::from(entry.leaving);
+        self.pool.update(team, |share| {
+            share.held -= 1;
+            share.leaving -= u32::from(entry.leaving);
         });
         if end == EndReason::NoInstance {
             self.capacity.record_unplaced(now, self.pool.held() as u32);
@@ -532,8 +543,8 @@
     pub fn next_due(&mut self, now: Micros) -> Option<Micros> {
         // A candidate whose connections are still being set up has none to move. Its next event leads here again.
         let moves =
-            self.pool.move_candidates().iter().any(|&team| self.teams[team].movable.first().is_some());
-        let moves = moves.then(|| now.saturating_add(self.pace.time_until_next(now)));
+            self.pool.move_candidates().iter().any(|&team| self.teams[team].move_queue.first().is_some());
+        let moves = moves.then(|| now.saturating_add(self.reclaim_pace.time_until_next(now)));
         let next_capacity_check = self
             .capacity
             .is_growing()
@@ -562,17 +573,17 @@
         let mut moves = Vec::new();
         loop {
             let candidates = self.pool.move_candidates();
-            let first = |team: &TeamId| self.teams[*team].movable.first().map(|slot| (*team, slot));
+            let first = |team: &TeamId| self.teams[*team].move_queue.first().map(|slot| (*team, slot));
             let Some((team, slot)) = candidates.iter().find_map(first) else { break };
-            if !self.pace.try_take(now) {
+            if !self.reclaim_pace.try_take(now) {
                 break;
             }
             let Some(Some(entry)) = self.entries.get_mut(slot) else { break };
             entry.leaving = true;
-            let t = &mut self.teams[team];
-            t.movable.remove(rank(&self.ranks, entry.class), entry.number, slot);
-            t.ledger.moved += 1;
-            self.pool.update(team, |s| s.leaving += 1);
+            let state = &mut self.teams[team];
+            state.move_queue.remove(rank(&self.class_ranks, entry.class), entry.number, slot);
+            state.ledger.moved += 1;
+            self.pool.update(team, |share| share.leaving += 1);
             moves.push(entry.call.clone());
         }
         moves
@@ -581,20 +592,21 @@
     /// Returns the accounts of all teams that have a contract or have ever made a request.
     pub fn accounts(&self, now: Micros) -> Vec<Account> {
         let all = self.teams.iter().enumerate();
-        let reported =
-            all.filter(|(_, t)| t.ledger.asked > 0 || (!t.removed && t.contract.connections > 0.0));
+        let reported = all.filter(|(_, state)| {
+            state.ledger.asked > 0 || (!state.removed && state.contract.connections > 0.0)
+        });
         reported
-            .map(|(team, t)| {
-                let s = self.pool.share(team);
-                let mut ledger = t.ledger.clone();
-                ledger.advance(now, s.held, s.contract);
-                let mut meter = t.meter.clone();
-                meter.iter_mut().for_each(|m| m.advance(now, s.held.min(s.contract)));
+            .map(|(team, state)| {
+                let share = self.pool.share(team);
+                let mut ledger = state.ledger.clone();
+                ledger.advance(now, share.held, share.contract);
+                let mut meter = state.meter.clone();
+                meter.iter_mut().for_each(|m| m.advance(now, share.held.min(share.contract)));
                 Account {
-                    team: t.contract.team.clone(),
-                    held: s.held,
-                    contract: s.contract,
-                    stated: t.contract.connections * self.part(),
+                    team: state.contract.team.clone(),
+                    held: share.held,
+                    contract: share.contract,
+                    stated: state.contract.connections * self.part(),
                     used_us: ledger.total_used_us(now),
                     class_usage: ledger.usage_by_class(now).collect(),
                     ledger,
--- a/src/rebalance/imbalance.rs
+++ b/src/rebalance/imbalance.rs
@@ -49,17 +49,19 @@
         over.fold(0.0, f64::max) / self.mean_load_per_size.max(f64::MIN_POSITIVE)
     }
 
-    /// Returns whether moving `load` from one server to the other reduces the imbalance: the target was started recently
-    /// and is below its share by the dead band, the source is not below its own share, and after the move the source is
-    /// still no lower than the target, relative to size.
+    /// Returns whether moving `load` from one server to the other reduces the imbalance: the target was started
+    /// recently and is below its share by the dead band, the source is not below its own share, and after the move the
+    /// source is still no lower than the target, relative to size.
     pub fn move_helps(&self, from: HostId, to: HostId, load: f64) -> bool {
-        let (Some(a), Some(b)) = (self.servers.get(&from), self.servers.get(&to)) else { return false };
-        if from == to || !b.accepts_moves || b.size <= 0.0 || a.size <= 0.0 {
+        let (Some(source), Some(target)) = (self.servers.get(&from), self.servers.get(&to)) else {
+            return false;
+        };
+        if from == to || !target.accepts_moves || target.size <= 0.0 || source.size <= 0.0 {
             return false;
         }
-        let uneven = b.load / b.size < self.mean_load_per_size * (1.0 - self.dead_band)
-            && a.load / a.size >= self.mean_load_per_size;
-        uneven && (a.load - load) / a.size >= (b.load + load) / b.size
+        let uneven = target.load / target.size < self.mean_load_per_size * (1.0 - self.dead_band)
+            && source.load / source.size >= self.mean_load_per_size;
+        uneven && (source.load - load) / source.size >= (target.load + load) / target.size
     }
 
     /// Applies a move to the loads.
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -196,13 +196,13 @@
     assert!(events.contains(&PlanEvent::Paused("an instance failed")), "{events:?}");
 }
 
-/// Runs the program with two servers, of which one leaves and returns. With rebalancing on, its connections return, each
-/// moved once and none closed by force; with it off, they stay.
+/// Runs the program with two servers, of which one leaves and returns. With rebalancing on, its connections return,
+/// each moved once and none closed by force; with it off, they stay.
 #[test]
 fn connections_return_home_when_their_server_is_back_and_stay_when_rebalancing_is_off() {
     let run = |on: bool| -> (usize, usize) {
-        let (told, heard) = channel();
-        let (a, b) = (echo("a", told.clone()), echo("b", told));
+        let (sender, receiver) = channel();
+        let (a, b) = (echo("a", sender.clone()), echo("b", sender));
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
         let back =
             entry("s-00000002", b, "ready").replace("\"since_ms\":0", &format!("\"since_ms\":{}", unix - 1));
@@ -219,7 +219,7 @@
                 client
             })
             .collect();
-        assert!(heard.try_iter().all(|(name, _)| name == "a"));
+        assert!(receiver.try_iter().all(|(name, _)| name == "a"));
         discovery.push(&listing(2, &[back]));
         balancer.logged("instance s-00000002");
         // Each client that is asked to move reconnects at once and reaches its home; the others stay connected.
@@ -246,7 +246,7 @@
                 }
             }
         }
-        (moved, heard.try_iter().filter(|(name, _)| *name == "b").count())
+        (moved, receiver.try_iter().filter(|(name, _)| *name == "b").count())
     };
     assert_eq!(run(false), (0, 0), "without rebalancing no connection moves");
     let (moved, home) = run(true);
