--- a/tests/contracts.rs
+++ b/tests/contracts.rs
@@ -428,9 +428,9 @@
     let mut harness = Harness::new(1, base(40.0));
     assert_eq!(harness.connect_many("north", 100), 40);
     let changes = harness.contracts.apply_terms(harness.now, base(20.0));
-    let told: Vec<String> =
+    let reported: Vec<String> =
         changes.iter().map(|c| format!("{} {} {} {}", c.team, c.key, c.before, c.after)).collect();
-    assert_eq!(told, ["north connections 40 20"]);
+    assert_eq!(reported, ["north connections 40 20"]);
     assert_eq!(harness.advance(2 * SECOND), 20, "none is closed by force, all are asked to move within 2 s");
     assert_eq!(harness.connect_many("north", 100), 0);
     harness.contracts.apply_terms(harness.now, base(80.0));
