--- a/src/group/record.rs
+++ b/src/group/record.rs
@@ -206,7 +206,14 @@
                 Outcome::Done
             }
             Command::Plan { task, token, plan } => {
- let (serial, renewed) = self.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewals)); let is_next = (plan.serial, plan.renewals) == (serial + 1, 0); let is_renewal = self.plan.is_some() && (plan.serial, plan.renewals) == (serial, renewed + 1); if !is_next && !is_renewal || plan.zones.len() > MAX_ZONES || self.current_lease(task, *token).is_none() { 
+                let (serial, renewed) =
+                    self.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewals));
+                let is_next = (plan.serial, plan.renewals) == (serial + 1, 0);
+                let is_renewal = self.plan.is_some() && (plan.serial, plan.renewals) == (serial, renewed + 1);
+                if !is_next && !is_renewal
+                    || plan.zones.len() > MAX_ZONES
+                    || self.current_lease(task, *token).is_none()
+                {
                     return Outcome::Stale;
                 }
                 self.plan = Some(plan.clone());
