--- a/src/placement.rs
+++ b/src/placement.rs
@@ -26,8 +26,8 @@
 /// Ring points of each host. The arcs of a host then sum to an even share within a tenth: the deviation is
 /// one over the square root of the number of points (thesis, 2.2.3).
 const POINTS_PER_HOST: u64 = 100;
-/// Number of segments that the ring is kept in: with some hundred hosts each holds about a hundred points, so
-/// that a change of the list moves few of them.
+/// Number of segments that the ring is kept in: with a few hundred hosts each holds about a hundred points,
+/// so that a change of the list moves few of them.
 const RING_SEGMENTS: usize = 256;
 /// Capacity of a host as a multiple of the even share that it is asked to carry.
 const CAPACITY_PER_EVEN_SHARE: f64 = 1.75;
@@ -40,7 +40,8 @@
 /// Multiple of a cold host's allowance that the nodes of a small fleet use together. It may exceed 1 for the
 /// same reason.
 const COLD_ALLOWANCE_SMALL_FLEET: f64 = 1.6;
-/// Assumed lifetime of a connection, in microseconds.
+/// Assumed lifetime of a connection, in microseconds: it converts the hosts' sizes into the rate at which new
+/// connections may fill them.
 const ASSUMED_LIFETIME_US: f64 = 60e6;
 /// Share of the total size of all hosts (in cores) up to which nodes with a sparse view admit clients.
 const SPARSE_VIEW_ADMISSION_SHARE: f64 = 0.2;
@@ -77,19 +78,21 @@
 /// Shortest time between two cuts of a host's ceiling, and between two moves of what is past it. Reports come
 /// once a second: earlier, the last change cannot have shown its effect.
 const MIN_ADJUSTMENT_INTERVAL: Micros = 900_000;
-/// Reported load of a host, as a share of its capacity, above which late messages mean overload at once.
+/// Reported load of a host, as a share of its capacity, above which late messages mean overload at once, and
+/// a request that was held for a probe passes the host over.
 const BUSY_UTILIZATION: f64 = 0.6;
 /// Reported load of a host, as a share of its capacity, from which on it counts as full.
 const FULL_UTILIZATION: f64 = 0.8;
 /// Share of this node's load at a host that remains when the host's messages are past their target.
 const OVERLOAD_KEEP_SHARE: f64 = 0.8;
-/// Number of hosts that are tried for room, and the limit on a request's probes. Each copy of a group costs,
-/// but less than to refuse while a host is idle.
+/// Number of hosts that are tried for room, and the limit on a request's probes. With more hosts there would
+/// be more copies of each group, and each copy costs.
 const CANDIDATE_HOSTS: u32 = 3;
 /// Largest number of nodes that counts as a small fleet. In a larger one, a node with a sparse view must do
 /// by itself what is right if all nodes do it.
 pub(crate) const SMALL_FLEET_NODES: u32 = 8;
-/// Number of hosts that are tried in a small fleet while none of them has room, for the same reason.
+/// Number of hosts that are tried in a small fleet while none of them has room: a copy of a group costs less
+/// than a refusal while a host is idle.
 const CANDIDATE_HOSTS_IN_SMALL_FLEET: u32 = 8;
 /// Where message delays are not reported: share of its size (in cores) that a host is planned to carry,
 /// divided evenly among nodes.
@@ -143,7 +146,7 @@
 /// Horizon of this node's rate of new connections, in microseconds; also the lifetime assumed of connections
 /// found at the start.
 const RATE_HORIZON_US: f64 = 20e6;
-/// Horizon over which a surge is told from that rate, in microseconds.
+/// Horizon over which a surge is distinguished from that rate, in microseconds.
 const SURGE_HORIZON_US: f64 = 2e6;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -319,7 +322,7 @@
 impl RetryWindow {
     /// Returns the number of retries that it allows now. It holds for every window, so at the older edge of
     /// the span a retry still counts and a request no longer does.
-    fn left(&mut self, now: Micros) -> f64 {
+    fn retries_left(&mut self, now: Micros) -> f64 {
         let Some(b) = self.budget else { return f64::INFINITY };
         while self.requests.front().is_some_and(|&at| at.saturating_add(b.span) <= now) {
             self.requests.pop_front();
@@ -335,7 +338,7 @@
 #[derive(Default)]
 pub struct PlacementPolicy {
     settings: Settings,
-    rng: u64,
+    rng_state: u64,
     hosts: BTreeMap<HostId, Host>,
     /// Points in clockwise order, in segments of equal length: a change of the list then moves few of them.
     ring: Vec<Vec<(u64, HostId)>>,
@@ -383,7 +386,7 @@
             retry_windows: budgets.map(|budget| RetryWindow { budget, ..RetryWindow::default() }).collect(),
             ring: vec![Vec::new(); RING_SEGMENTS],
             settings,
-            rng: seed,
+            rng_state: seed,
             ..PlacementPolicy::default()
         })
     }
@@ -762,7 +765,8 @@
     fn send_or_answer(&mut self, now: Micros, id: CallId, out: &mut Vec<Action>) {
         self.refresh_totals(now);
         let tenant = self.calls.get(&id).and_then(|c| c.tenant);
-        let retries_left = self.binding_budgets(tenant).map(|r| r.left(now)).fold(f64::INFINITY, f64::min);
+        let retries_left =
+            self.binding_budgets(tenant).map(|r| r.retries_left(now)).fold(f64::INFINITY, f64::min);
         let Some(c) = self.calls.get(&id).filter(|c| c.host.is_none()) else { return };
         let pick =
             Some(c).filter(|c| c.attempts == 0 || retries_left >= 1.0).and_then(|c| self.choose_host(now, c));
@@ -1365,8 +1369,8 @@
     }
 
     fn random(&mut self) -> u64 {
-        self.rng = self.rng.wrapping_add(1);
-        xxh64(&self.rng.to_le_bytes(), RING_HASH_SEED)
+        self.rng_state = self.rng_state.wrapping_add(1);
+        xxh64(&self.rng_state.to_le_bytes(), RING_HASH_SEED)
     }
 }
 
