--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,9 +1,9 @@
-//! The operators' door: one line in, one answer, the end. It has a lobby of its own, so whoever sits there and says
+//! The operators' door: one line in, one answer, the end. It has a idle of its own, so whoever sits there and says
 //! nothing takes nothing from clients, and leaves when another wants the seat.
 
 use super::buffer::trimmed;
+use super::idle::IdleConnections;
 use super::links::Link;
-use super::lobby::Lobby;
 use super::relay;
 use crate::api::Micros;
 use crate::broker::operations::Operations;
@@ -18,7 +18,7 @@
 use winnow::{ModalResult, Parser};
 
 /// Connections that the door holds at most.
-pub const SEATS: usize = 24;
+pub const MAX_CONNECTIONS: usize = 24;
 /// Callers may be silent for seconds and ask then; a whole call is answered at once.
 const PATIENCE: Micros = 10_000_000;
 
@@ -92,13 +92,17 @@
 pub struct Door {
     operations: Operations,
     group: Option<Rc<StatusBoard>>,
-    lobby: Rc<Lobby>,
+    idle: Rc<IdleConnections>,
 }
 
 impl Door {
     /// A door to these operations, with seats of its own.
-    pub fn new(operations: Operations, group: Option<Rc<StatusBoard>>, lobby: Rc<Lobby>) -> Rc<Door> {
-        Rc::new(Door { operations, group, lobby })
+    pub fn new(
+        operations: Operations,
+        group: Option<Rc<StatusBoard>>,
+        idle: Rc<IdleConnections>,
+    ) -> Rc<Door> {
+        Rc::new(Door { operations, group, idle })
     }
 
     fn zones(&self) -> Option<String> {
@@ -148,11 +152,11 @@
 pub async fn serve(door: Rc<Door>, stream: TcpStream, from: SocketAddr) {
     let mut link = Link::new(stream);
     let answer = {
-        let seat = door.lobby.seat();
+        let slot = door.idle.acquire_slot();
         let line = tokio::select! {
             biased;
             line = link.line() => line,
-            _ = seat.over(door.lobby.broker().now() + PATIENCE) => return,
+            _ = slot.ended(door.idle.broker().now() + PATIENCE) => return,
         };
         let call = match line {
             // One line a connection: whoever sends more has not understood it, and nothing is done.
@@ -169,12 +173,12 @@
     };
     let written = async {
         if link.write(answer.as_bytes()).await.is_ok() {
-            relay::close(&door.lobby, &mut link).await;
+            relay::close(&door.idle, &mut link).await;
         }
     };
     tokio::select! {
         () = written => {}
-        () = door.lobby.broker().after(PATIENCE) => {}
+        () = door.idle.broker().after(PATIENCE) => {}
     }
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,9 +3,9 @@
 pub mod admin;
 pub mod buffer;
 pub mod discovery;
+pub mod idle;
 pub mod inherited;
 pub mod links;
-pub mod lobby;
 pub mod platform;
 pub mod relay;
 pub mod xmpp;
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's line protocol: a thin front.
 
 use super::buffer::{trimmed, LINE};
+use super::idle::{IdleConnections, SlotEnd, FIRST_LINE_TIMEOUT};
 use super::links::{self, Link};
-use super::lobby::{Lobby, Over, FIRST};
 use super::relay;
 use crate::api::{Demand, Micros, Outcome};
 use crate::broker::figures::End;
@@ -118,17 +118,17 @@
 }
 
 /// Reads up to the first line that is no check of the front.
-async fn first_line(peer: &mut Peer, lobby: &Rc<Lobby>) -> First {
-    let seat = lobby.seat();
-    let mut until = peer.broker.now() + FIRST;
+async fn first_line(peer: &mut Peer, idle: &Rc<IdleConnections>) -> First {
+    let slot = idle.acquire_slot();
+    let mut until = peer.broker.now() + FIRST_LINE_TIMEOUT;
     loop {
         let line = tokio::select! {
             biased;
             line = peer.link.line() => line,
-            over = seat.over(until) => return match over {
-                Over::Wanted => First::Bad("BUSY".into()),
-                Over::Late if peer.link.buffer.data().is_empty() => First::Nothing,
-                Over::Late => First::Bad("ERR no whole line in time".into()),
+            over = slot.ended(until) => return match over {
+                SlotEnd::Evicted => First::Bad("BUSY".into()),
+                SlotEnd::TimedOut if peer.link.buffer.data().is_empty() => First::Nothing,
+                SlotEnd::TimedOut => First::Bad("ERR no whole line in time".into()),
             },
         };
         let n = match line {
@@ -151,14 +151,15 @@
         if peer.link.write(answer).await.is_err() {
             return First::Nothing;
         }
-        until = peer.broker.now() + if peer.link.buffer.data().is_empty() { IDLE } else { FIRST };
+        until =
+            peer.broker.now() + if peer.link.buffer.data().is_empty() { IDLE } else { FIRST_LINE_TIMEOUT };
     }
 }
 
 /// Serves one connection from its first line to its end.
-pub async fn serve(lobby: Rc<Lobby>, stream: TcpStream, from: SocketAddr) {
-    let mut peer = Peer { link: Link::new(stream), broker: lobby.broker().clone() };
-    match first_line(&mut peer, &lobby).await {
+pub async fn serve(idle: Rc<IdleConnections>, stream: TcpStream, from: SocketAddr) {
+    let mut peer = Peer { link: Link::new(stream), broker: idle.broker().clone() };
+    match first_line(&mut peer, &idle).await {
         First::Nothing => return,
         First::Line(line) => {
             if let Err(answer) = ask(&mut peer, &line).await {
@@ -171,7 +172,7 @@
             peer.answer(&answer).await;
         }
     }
-    relay::close(&lobby, &mut peer.link).await;
+    relay::close(&idle, &mut peer.link).await;
 }
 
 /// Carries the command that a first line asks for; what is wrong with it is the answer that it is owed.
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -2,8 +2,8 @@
 //! that does not take them; what passes is watched, but never altered.
 
 use super::buffer::{trimmed, LINE};
+use super::idle::IdleConnections;
 use super::links::Link;
-use super::lobby::Lobby;
 use crate::api::Micros;
 use crate::broker::{Broker, Command, Ended, SILENT};
 use std::collections::VecDeque;
@@ -141,7 +141,7 @@
 /// Ends a connection the soft way: what was written arrives, then the end. A client that keeps writing is
 /// read for a while, since bytes unread at the close would reset the connection and might lose the last line.
 /// One that writes without end is left unread then: 60 MB must not cost what the others need.
-pub async fn close(lobby: &Rc<Lobby>, link: &mut Link) {
+pub async fn close(idle: &Rc<IdleConnections>, link: &mut Link) {
     let _ = socket2::SockRef::from(&link.stream).shutdown(std::net::Shutdown::Write);
     let drained = async {
         let mut left = DRAINED;
@@ -155,7 +155,7 @@
         }
         std::future::pending().await
     };
-    lobby.linger(drained).await
+    idle.await_close(drained).await
 }
 
 /// Passes lines on until the connection ends; the caller closes the client's side.
--- a/src/net/xmpp/mod.rs
+++ b/src/net/xmpp/mod.rs
@@ -4,8 +4,8 @@
 pub mod relay;
 pub mod stream;
 
+use super::idle::{IdleConnections, IdleSlot, SlotEnd, FIRST_LINE_TIMEOUT};
 use super::links;
-use super::lobby::{Lobby, Over, Seat, FIRST};
 use crate::api::{Demand, Micros, Outcome};
 use crate::broker::{carry, Broker, Client, Command, Dialer, Ended, Execution, Failure, Gone};
 use crate::config::{Grouping, Service, Xmpp};
@@ -91,36 +91,36 @@
 }
 
 /// Serves one connection from its first byte to its end.
-pub async fn serve(front: Rc<Front>, lobby: Rc<Lobby>, stream: TcpStream, from: SocketAddr) {
+pub async fn serve(front: Rc<Front>, idle: Rc<IdleConnections>, stream: TcpStream, from: SocketAddr) {
     let broker = front.broker.clone();
-    let seat = lobby.seat();
+    let slot = idle.acquire_slot();
     let by = broker.now() + front.file.login.0;
     let mut side = front.side(stream);
-    let mut came = login(&front, &mut side, &seat, by).await;
+    let mut came = login(&front, &mut side, &slot, by).await;
     if matches!(came, Ok(Step::Tls)) {
         let Some(tls) = front.tls.clone() else { return };
         let accepted = tokio::select! {
             accepted = tls.accept(side.into_io()) => accepted,
-            _ = seat.over(by) => return,
+            _ = slot.ended(by) => return,
         };
         let io = match accepted {
             Ok(io) => io,
             Err(e) => return tracing::warn!("xmpp client {from}: TLS failed: {e}"),
         };
         side = Side::new(Box::new(io), front.bounds(), &broker);
-        came = secure_login(&front, &mut side, &seat, by).await.map(Step::Login);
+        came = secure_login(&front, &mut side, &slot, by).await.map(Step::Login);
     }
-    drop(seat);
+    drop(slot);
     match came {
         Ok(Step::Login(login)) => place(&front, side, login).await,
         Ok(Step::Tls) => {}
-        Err(parting) => part(&front, &lobby, &mut side, parting, from).await,
+        Err(parting) => part(&front, &idle, &mut side, parting, from).await,
     }
 }
 
 /// Ends with what came, or when the seat is over.
 async fn within<T, E>(
-    seat: &Seat,
+    slot: &IdleSlot,
     at: Micros,
     what: impl std::future::Future<Output = Result<T, E>>,
 ) -> Result<T, Parting>
@@ -130,9 +130,9 @@
     tokio::select! {
         biased;
         came = what => Ok(came?),
-        over = seat.over(at) => Err(match over {
-            Over::Late => Parting::Error("connection-timeout", "log in sooner"),
-            Over::Wanted => Parting::Error("resource-constraint", "come again later"),
+        over = slot.ended(at) => Err(match over {
+            SlotEnd::TimedOut => Parting::Error("connection-timeout", "log in sooner"),
+            SlotEnd::Evicted => Parting::Error("resource-constraint", "come again later"),
         }),
     }
 }
@@ -161,7 +161,13 @@
     Tls,
 }
 
-async fn part(front: &Front, lobby: &Rc<Lobby>, side: &mut Side, parting: Parting, from: SocketAddr) {
+async fn part(
+    front: &Front,
+    idle: &Rc<IdleConnections>,
+    side: &mut Side,
+    parting: Parting,
+    from: SocketAddr,
+) {
     let words = match parting {
         Parting::Gone => CLOSE.to_string(),
         Parting::Error(condition, text) => {
@@ -173,7 +179,7 @@
             format!("<failure xmlns='{SASL}'><{condition}/></failure>{CLOSE}")
         }
     };
-    lobby.linger(side.finish(&front.broker, &words, LINGER)).await;
+    idle.await_close(side.finish(&front.broker, &words, LINGER)).await;
 }
 
 /// Reads a header and answers it with our own, up to the service that it is for.
@@ -181,10 +187,11 @@
     front: &'a Front,
     side: &mut Side,
     secure: bool,
-    seat: &Seat,
+    slot: &IdleSlot,
 ) -> Result<(&'a Service, Vec<u8>), Parting> {
     // The peer's header may come with the first error: our own must stand before any error (RFC 6120, 4.9.1.2).
-    let (unit, header) = match within(seat, front.broker.now() + FIRST, side.reader.unit()).await {
+    let (unit, header) = match within(slot, front.broker.now() + FIRST_LINE_TIMEOUT, side.reader.unit()).await
+    {
         Ok(unit) => unit,
         Err(Parting::Gone) => return Err(Parting::Gone),
         Err(parting) => {
@@ -230,10 +237,15 @@
     }
 }
 
-async fn login<'a>(front: &'a Front, side: &mut Side, seat: &Seat, by: Micros) -> Result<Step<'a>, Parting> {
+async fn login<'a>(
+    front: &'a Front,
+    side: &mut Side,
+    slot: &IdleSlot,
+    by: Micros,
+) -> Result<Step<'a>, Parting> {
     let secure = front.tls.is_none();
-    let (service, header) = open(front, side, secure, seat).await?;
-    let (element, bytes) = within(seat, by, next_stanza(side)).await?;
+    let (service, header) = open(front, side, secure, slot).await?;
+    let (element, bytes) = within(slot, by, next_stanza(side)).await?;
     if !secure {
         if !element.is(TLS, "starttls") {
             return Err(Parting::Error("policy-violation", "STARTTLS is required"));
@@ -247,11 +259,11 @@
 async fn secure_login<'a>(
     front: &'a Front,
     side: &mut Side,
-    seat: &Seat,
+    slot: &IdleSlot,
     by: Micros,
 ) -> Result<Login<'a>, Parting> {
-    let (service, header) = open(front, side, true, seat).await?;
-    let (element, bytes) = within(seat, by, next_stanza(side)).await?;
+    let (service, header) = open(front, side, true, slot).await?;
+    let (element, bytes) = within(slot, by, next_stanza(side)).await?;
     auth(service, header, element, bytes)
 }
 
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -13,8 +13,8 @@
 use crate::logging;
 use crate::net;
 use crate::net::admin::{self, Door};
+use crate::net::idle::IdleConnections;
 use crate::net::inherited::{Listener, Reserved};
-use crate::net::lobby::Lobby;
 use crate::net::xmpp::Front;
 use crate::net::Connections;
 use crate::operator::Operator;
@@ -25,10 +25,11 @@
 use tokio::task::{spawn_local, LocalSet};
 
 /// Descriptors that are kept for other things than connections: the listeners, discovery, the runtime's own,
-/// and connections of the lobby that are about to end.
-const RESERVED: usize = 32 + admin::SEATS;
-/// Of the rest, this part are seats of the lobby, so that those who ask nothing never take from those who do.
-const LOBBY: usize = 5;
+/// and connections without a command that are about to end.
+const RESERVED: usize = 32 + admin::MAX_CONNECTIONS;
+/// One part in this many of the rest is for connections without a command, so that those never take descriptors from
+/// connections with one.
+const IDLE_PART: usize = 5;
 /// SIGKILL comes no sooner after SIGTERM than the longest deadline, taken for this where it is longer, and some
 /// tenths of a second more.
 const LONGEST_END: u64 = 3_000_000;
@@ -90,11 +91,11 @@
         .admin(std::env::var("LB_ADMIN").ok())
         .map_err(|e| sources.config.display().to_string() + ": " + &e)?;
     let descriptors = config.limits.sockets.saturating_sub(RESERVED);
-    let seats = descriptors / LOBBY;
+    let idle_capacity = descriptors / IDLE_PART;
     let worths: Vec<f64> = settings.classes.iter().map(|c| c.worth).collect();
     let zoned = settings.clone();
     let (broker, ordered) =
-        Broker::new(settings, names, seed, descriptors - seats).map_err(|e| e.to_string())?;
+        Broker::new(settings, names, seed, descriptors - idle_capacity).map_err(|e| e.to_string())?;
     let accounted = operator.terms.is_some();
     let (mut plans, started) = (None, unix_ms());
     if let Some(terms) = operator.failover {
@@ -118,8 +119,8 @@
         spawn_local(task.run(broker.clone()));
         group = Some(board);
     }
-    let lobby = Lobby::new(broker.clone(), seats);
-    let parting = lobby.clone();
+    let idle = IdleConnections::new(broker.clone(), idle_capacity);
+    let leaving_idle = idle.clone();
     let listener = match std::env::var("LB_FD") {
         Ok(descriptor) if !descriptor.is_empty() => {
             Reserved::Inherited(Listener::inherited(&descriptor, config.listen)?)
@@ -142,14 +143,14 @@
     spawn_local(async move { keeper.keep_contracts().await });
     let keeper = broker.clone();
     spawn_local(async move { keeper.keep_drain().await });
-    let guests = lobby.clone();
+    let line_idle = idle.clone();
     let connections = Connections::default();
-    let serve = move |stream, from| net::platform::serve(guests.clone(), stream, from);
+    let serve = move |stream, from| net::platform::serve(line_idle.clone(), stream, from);
     let xmpp = match operator.xmpp {
         Some(file) => {
             let address = file.listen.ok_or("the XMPP front has no address")?;
             let front = Rc::new(Front::new(broker.clone(), file)?);
-            let serve = move |stream, from| net::xmpp::serve(front.clone(), lobby.clone(), stream, from);
+            let serve = move |stream, from| net::xmpp::serve(front.clone(), idle.clone(), stream, from);
             Some((Reserved::bind(address)?, serve))
         }
         None => None,
@@ -161,8 +162,8 @@
         let listener = Listener::bind(address);
         let listener = listener.map_err(|e| format!("admin: {e}; give an address that is free"))?;
         let at = listener.at()?;
-        let lobby = Lobby::new(broker.clone(), admin::SEATS);
-        let inside = Door::new(Operations::new(broker.clone()), group.clone(), lobby);
+        let idle = IdleConnections::new(broker.clone(), admin::MAX_CONNECTIONS);
+        let inside = Door::new(Operations::new(broker.clone()), group.clone(), idle);
         let serve = move |stream, from| admin::serve(inside.clone(), stream, from);
         door.spawn_local(net::accept(broker.clone(), listener, Connections::default(), "operators", serve));
         tracing::info!("{} answers operators on {at}", config.name);
@@ -210,7 +211,7 @@
         if let Some(place) = &place {
             upgrade::leave(&broker, place, &config.name, broker.now() + span(&broker) + OVERTIME);
         }
-        leave(&broker, &parting, &connections, shared).await;
+        leave(&broker, &leaving_idle, &connections, shared).await;
         clerk.write();
     };
     let door = async {
@@ -350,7 +351,7 @@
 ///
 /// Where it shares its socket with a process that comes after it there is somebody to come back to at once, and it
 /// ends when its last connection has.
-async fn leave(broker: &Rc<Broker>, lobby: &Lobby, connections: &Connections, shared: bool) {
+async fn leave(broker: &Rc<Broker>, idle: &IdleConnections, connections: &Connections, shared: bool) {
     let (begun, span) = (broker.now(), span(broker));
     let (from, end) = (if shared { begun } else { begun + span * FROM / 10 }, begun + span);
     tracing::info!("leaving: {} connections are asked to come again", broker.in_hand());
@@ -363,7 +364,7 @@
         }
         if now >= end {
             // Nobody is left without an answer: who rests here may be asking in this very moment.
-            lobby.clear();
+            idle.evict_waiting();
             let parted = connections.open() == 0 || now >= *parts.get_or_insert(now) + PARTING;
             if parted && broker.in_hand() == 0 || now >= end + OVERTIME {
                 break;
