--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -25,7 +25,7 @@
 
 /// The watches: one in use, and after discovery has moved the one before, until the new address has told the
 /// whole list. In between both are heard, so that there is no gap in what is known.
-pub struct Watcher {
+pub struct DiscoveryWatcher {
     broker: Rc<Broker>,
     address: Cell<SocketAddr>,
     /// How often discovery has moved, and after which move it was last heard.
@@ -35,12 +35,12 @@
     older: RefCell<Vec<JoinHandle<()>>>,
 }
 
-impl Watcher {
+impl DiscoveryWatcher {
     /// One that watches nothing yet.
-    pub fn new(broker: Rc<Broker>, address: SocketAddr) -> Rc<Watcher> {
+    pub fn new(broker: Rc<Broker>, address: SocketAddr) -> Rc<DiscoveryWatcher> {
         let (moves, heard) = (Cell::new(0), Cell::new(0));
         let (current, older) = (RefCell::default(), RefCell::default());
-        Rc::new(Watcher { broker, address: Cell::new(address), moves, heard, current, older })
+        Rc::new(DiscoveryWatcher { broker, address: Cell::new(address), moves, heard, current, older })
     }
 
     fn watches(&self) -> bool {
@@ -75,7 +75,7 @@
     }
 
     /// Discovery is elsewhere from now on.
-    pub fn moved(self: &Rc<Self>, address: SocketAddr) {
+    pub fn set_address(self: &Rc<Self>, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.moves.set(self.moves.get() + 1);
             self.older.borrow_mut().extend(self.current.take());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,18 +1,19 @@
-//! The network round the core: the platform's lines, XMPP, discovery, and the links to instances.
+//! Network I/O of the balancer: the platform's line protocol, XMPP, the operators' protocol, discovery, and connections
+//! to instances. It takes no placement decisions; those come from the broker.
 
 pub mod admin;
 pub mod buffer;
 pub mod discovery;
 pub mod idle;
-pub mod inherited;
 pub mod links;
+pub mod listener;
 pub mod platform;
 pub mod relay;
 pub mod xmpp;
 
 use crate::broker::{Broker, Order};
-use discovery::Watcher;
-use inherited::Listener;
+use discovery::DiscoveryWatcher;
+use listener::Listener;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -22,88 +23,93 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// Does what the core asks of the network, for ever.
-pub async fn orders(broker: Rc<Broker>, mut ordered: UnboundedReceiver<Order>, discovery: SocketAddr) {
+/// Carries out the broker's orders to the network, indefinitely.
+pub async fn run_orders(broker: Rc<Broker>, mut orders: UnboundedReceiver<Order>, discovery: SocketAddr) {
     let probes: RefCell<BTreeMap<u32, JoinHandle<()>>> = RefCell::default();
-    let watcher = Watcher::new(broker.clone(), discovery);
-    while let Some(order) = ordered.recv().await {
+    let watcher = DiscoveryWatcher::new(broker.clone(), discovery);
+    while let Some(order) = orders.recv().await {
         match order {
             Order::Probe(host, address) => {
-                // One probe an instance: an answer that comes after its time must not count for the next.
+                // At most one probe per instance: a late answer must not count for the next probe.
                 let probe = spawn_local(links::probe(broker.clone(), host, address));
-                if let Some(old) = probes.borrow_mut().insert(host, probe) {
-                    old.abort();
+                if let Some(previous) = probes.borrow_mut().insert(host, probe) {
+                    previous.abort();
                 }
             }
-            Order::Watch(from) => watcher.watch(from),
-            Order::Discovery(address) => watcher.moved(address),
+            Order::Watch(version) => watcher.watch(version),
+            Order::Discovery(address) => watcher.set_address(address),
         }
     }
 }
 
-/// So many connections are accepted in a row before those that are there have their turn.
-const ROW: usize = 16;
+/// Number of connections accepted before the task yields, so that a burst of new connections does not hold up the
+/// open ones.
+const ACCEPTS_PER_YIELD: usize = 16;
 
-/// Accepts for ever, and counts what is open. A lack of descriptors, ours or the system's, is survived: it is logged once each time it
-/// begins, and accepting pauses until connections have ended.
-pub async fn accept<F, S>(
+/// Pause after a failed accept, in microseconds.
+const ACCEPT_RETRY_DELAY: u64 = 20_000;
+
+/// Accepts connections indefinitely, serves each in a task of its own and counts those that are open. A shortage of
+/// descriptors, of the process or of the system, does not end it: it is logged once each time it begins, and
+/// accepting pauses until connections have ended.
+pub async fn accept_connections<F, S>(
     broker: Rc<Broker>,
     listener: Listener,
-    connections: Connections,
-    what: &'static str,
+    connections: ConnectionCounter,
+    client_kind: &'static str,
     serve: F,
 ) where
     F: Fn(TcpStream, SocketAddr) -> S,
     S: Future<Output = ()> + 'static,
 {
-    let (mut failing, mut row) = (false, 0);
+    let (mut failing, mut accepts) = (false, 0);
     loop {
-        row += 1;
-        if row % ROW == 0 {
+        accepts += 1;
+        if accepts % ACCEPTS_PER_YIELD == 0 {
             tokio::task::yield_now().await;
         }
         match listener.accept(&broker).await {
             Ok((stream, from)) => {
                 failing = false;
-                // Lines are short and wanted at once.
+                // Lines are short and must not wait to be batched.
                 let _ = stream.set_nodelay(true);
-                let (connection, serving) = (connections.one(), serve(stream, from));
+                let (guard, serving) = (connections.register(), serve(stream, from));
                 spawn_local(async move {
                     serving.await;
-                    drop(connection);
+                    drop(guard);
                 });
             }
             Err(e) => {
                 if !std::mem::replace(&mut failing, true) {
-                    tracing::error!("{what}: cannot accept connections: {e}; trying again");
+                    tracing::error!("{client_kind}: cannot accept connections: {e}; trying again");
                 }
-                broker.after(20_000).await;
+                broker.after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// How many connections are open, from their acceptance to their end.
+/// Counts open connections, from accept to close.
 #[derive(Clone, Default)]
-pub struct Connections(Rc<Cell<usize>>);
+pub struct ConnectionCounter(Rc<Cell<usize>>);
 
-/// One of them, until it is dropped.
-pub struct Connection(Rc<Cell<usize>>);
+/// Counts one connection as open until dropped.
+pub struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Connections {
-    /// One more.
-    pub fn one(&self) -> Connection {
+impl ConnectionCounter {
+    /// Counts one more connection until the returned guard is dropped.
+    pub fn register(&self) -> ConnectionGuard {
         self.0.set(self.0.get() + 1);
-        Connection(self.0.clone())
+        ConnectionGuard(self.0.clone())
     }
 
-    /// How many there are.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open connections.
+    pub fn count(&self) -> usize {
         self.0.get()
     }
 }
 
-impl Drop for Connection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -14,9 +14,9 @@
 use crate::net;
 use crate::net::admin::{self, Door};
 use crate::net::idle::IdleConnections;
-use crate::net::inherited::{Listener, Reserved};
+use crate::net::listener::{Listener, ReservedAddress};
 use crate::net::xmpp::Front;
-use crate::net::Connections;
+use crate::net::ConnectionCounter;
 use crate::operator::Operator;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -123,17 +123,17 @@
     let leaving_idle = idle.clone();
     let listener = match std::env::var("LB_FD") {
         Ok(descriptor) if !descriptor.is_empty() => {
-            Reserved::Inherited(Listener::inherited(&descriptor, config.listen)?)
+            ReservedAddress::Inherited(Listener::inherited(&descriptor, config.listen)?)
         }
-        _ => Reserved::bind(config.listen)?,
+        _ => ReservedAddress::bind(config.listen)?,
     };
-    let shared = listener.shared();
+    let shared = listener.is_shared();
     let place = upgrade::place().filter(|_| shared);
     place.iter().for_each(|place| upgrade::clear(place));
 
     let sweeper = broker.clone();
     spawn_local(async move { sweeper.sweep().await });
-    spawn_local(net::orders(broker.clone(), ordered, config.discovery));
+    spawn_local(net::run_orders(broker.clone(), ordered, config.discovery));
     if let Some(known) = config.known.take() {
         broker.listed(ListKind::Cached, known);
     } else {
@@ -144,14 +144,14 @@
     let keeper = broker.clone();
     spawn_local(async move { keeper.keep_drain().await });
     let line_idle = idle.clone();
-    let connections = Connections::default();
+    let connections = ConnectionCounter::default();
     let serve = move |stream, from| net::platform::serve(line_idle.clone(), stream, from);
     let xmpp = match operator.xmpp {
         Some(file) => {
             let address = file.listen.ok_or("the XMPP front has no address")?;
             let front = Rc::new(Front::new(broker.clone(), file)?);
             let serve = move |stream, from| net::xmpp::serve(front.clone(), idle.clone(), stream, from);
-            Some((Reserved::bind(address)?, serve))
+            Some((ReservedAddress::bind(address)?, serve))
         }
         None => None,
     };
@@ -161,11 +161,17 @@
     if let Some(address) = admin {
         let listener = Listener::bind(address);
         let listener = listener.map_err(|e| format!("admin: {e}; give an address that is free"))?;
-        let at = listener.at()?;
+        let at = listener.local_address()?;
         let idle = IdleConnections::new(broker.clone(), admin::MAX_CONNECTIONS);
         let inside = Door::new(Operations::new(broker.clone()), group.clone(), idle);
         let serve = move |stream, from| admin::serve(inside.clone(), stream, from);
-        door.spawn_local(net::accept(broker.clone(), listener, Connections::default(), "operators", serve));
+        door.spawn_local(net::accept_connections(
+            broker.clone(),
+            listener,
+            ConnectionCounter::default(),
+            "operators",
+            serve,
+        ));
         tracing::info!("{} answers operators on {at}", config.name);
     }
 
@@ -179,15 +185,21 @@
         host.begin();
         if let Some((reserved, serve)) = xmpp {
             let listener = reserved.listen()?;
-            tracing::info!("{name} serves XMPP on {}", listener.at()?);
-            spawn_local(net::accept(host.clone(), listener, counted.clone(), "xmpp clients", serve));
+            tracing::info!("{name} serves XMPP on {}", listener.local_address()?);
+            spawn_local(net::accept_connections(
+                host.clone(),
+                listener,
+                counted.clone(),
+                "xmpp clients",
+                serve,
+            ));
         }
         let listener = listener.listen()?;
-        tracing::info!("{name} serves {}", listener.at()?);
+        tracing::info!("{name} serves {}", listener.local_address()?);
         if let Some(place) = left {
             spawn_local(upgrade::take_up(host.clone(), place, name));
         }
-        spawn_local(net::accept(host, listener, counted, "clients", serve));
+        spawn_local(net::accept_connections(host, listener, counted, "clients", serve));
         Ok::<(), String>(())
     };
     let clients = spawn_local(clients);
@@ -351,7 +363,7 @@
 ///
 /// Where it shares its socket with a process that comes after it there is somebody to come back to at once, and it
 /// ends when its last connection has.
-async fn leave(broker: &Rc<Broker>, idle: &IdleConnections, connections: &Connections, shared: bool) {
+async fn leave(broker: &Rc<Broker>, idle: &IdleConnections, connections: &ConnectionCounter, shared: bool) {
     let (begun, span) = (broker.now(), span(broker));
     let (from, end) = (if shared { begun } else { begun + span * FROM / 10 }, begun + span);
     tracing::info!("leaving: {} connections are asked to come again", broker.in_hand());
@@ -359,13 +371,13 @@
     let mut parts = None;
     loop {
         let now = broker.now();
-        if shared && connections.open() == 0 && now >= begun + COMING {
+        if shared && connections.count() == 0 && now >= begun + COMING {
             break;
         }
         if now >= end {
             // Nobody is left without an answer: who rests here may be asking in this very moment.
             idle.evict_waiting();
-            let parted = connections.open() == 0 || now >= *parts.get_or_insert(now) + PARTING;
+            let parted = connections.count() == 0 || now >= *parts.get_or_insert(now) + PARTING;
             if parted && broker.in_hand() == 0 || now >= end + OVERTIME {
                 break;
             }
