--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' door: one line in, one answer, the end. It has a idle of its own, so whoever sits there and says
-//! nothing takes nothing from clients, and leaves when another wants the seat.
+//! The operators' endpoint: each connection carries one command line and its answer, and is then closed. It has its own
+//! bounded set of idle connections, so silent callers take nothing from clients, and a new caller evicts the oldest.
 
 use super::buffer::trimmed;
 use super::idle::IdleConnections;
@@ -17,168 +17,183 @@
 use winnow::token::take_while;
 use winnow::{ModalResult, Parser};
 
-/// Connections that the door holds at most.
+/// Largest number of operators' connections held at once.
 pub const MAX_CONNECTIONS: usize = 24;
-/// Callers may be silent for seconds and ask then; a whole call is answered at once.
-const PATIENCE: Micros = 10_000_000;
+/// Time allowed for a command to arrive, and again for its answer to be taken, in microseconds. Operators' tools may
+/// connect seconds before they send the command.
+const CALL_TIMEOUT: Micros = 10_000_000;
 
-/// What can be asked.
+/// A command of the operators' endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Whether this process is ready to serve.
+pub enum AdminCommand {
+    /// Reports whether this process is ready to serve.
     Health,
-    /// All figures.
+    /// Reports all metrics.
     Dump,
-    /// Drain.
+    /// Starts to drain this balancer.
     Leave,
-    /// Back to work.
+    /// Ends the drain.
     Join,
-    /// The group, as this process sees it.
+    /// Reports the state of the group as this process sees it.
     Group,
-    /// Another voter is to lead.
+    /// Makes another voter the leader.
     StepDown,
-    /// Tasks held here are to be given back.
+    /// Releases the tasks that this process holds.
     GiveUp,
-    /// The zones by the fleet's plan.
+    /// Reports the zones according to the fleet's plan.
     Zones,
-    /// Something is wanted of a zone, or nothing any more, for so many milliseconds.
+    /// Orders something of a zone, or nothing any more (`None`), for a time in milliseconds.
     Zone(String, Option<OrderKind>, u64),
 }
 
-/// An operator's word on a zone counts for so long where nothing else is said.
-const LASTS: u64 = 3_600;
+/// Duration of an order for a zone that names none, in seconds.
+const DEFAULT_ORDER_SECONDS: u64 = 3_600;
 
-/// `EVACUATE zone seconds [lasts]`, `HOLD zone [lasts]`, `RELEASE zone`, in seconds.
-fn zone(input: &mut &[u8]) -> ModalResult<Call> {
+/// Longest name of a zone in a command, in bytes.
+const MAX_ZONE_NAME_BYTES: usize = 64;
+
+/// Parses `EVACUATE zone seconds [lasts]`, `HOLD zone [lasts]` and `RELEASE zone`, with times in seconds.
+fn zone_order(input: &mut &[u8]) -> ModalResult<AdminCommand> {
     let name = || {
-        let name = (b' ', take_while(1..=64, |c: u8| c.is_ascii_graphic()));
+        let name = (b' ', take_while(1..=MAX_ZONE_NAME_BYTES, |c: u8| c.is_ascii_graphic()));
         name.map(|(_, name): (u8, &[u8])| String::from_utf8_lossy(name).into_owned())
     };
     let seconds = || preceded(b' ', dec_uint::<_, u32, _>).map(u64::from);
-    let lasts = || opt(seconds()).map(|lasts| 1_000 * lasts.unwrap_or(LASTS));
+    let lasts_ms = || opt(seconds()).map(|lasts| 1_000 * lasts.unwrap_or(DEFAULT_ORDER_SECONDS));
     alt((
-        (preceded("EVACUATE", name()), seconds(), lasts())
-            .map(|(zone, over, lasts)| Call::Zone(zone, Some(OrderKind::Evacuate(1_000 * over)), lasts)),
-        (preceded("HOLD", name()), lasts())
-            .map(|(zone, lasts)| Call::Zone(zone, Some(OrderKind::Hold), lasts)),
-        preceded("RELEASE", name()).map(|zone| Call::Zone(zone, None, 0)),
+        (preceded("EVACUATE", name()), seconds(), lasts_ms()).map(|(zone, over_seconds, lasts_ms)| {
+            AdminCommand::Zone(zone, Some(OrderKind::Evacuate(1_000 * over_seconds)), lasts_ms)
+        }),
+        (preceded("HOLD", name()), lasts_ms())
+            .map(|(zone, lasts_ms)| AdminCommand::Zone(zone, Some(OrderKind::Hold), lasts_ms)),
+        preceded("RELEASE", name()).map(|zone| AdminCommand::Zone(zone, None, 0)),
     ))
     .parse_next(input)
 }
 
-fn call(input: &mut &[u8]) -> ModalResult<Call> {
-    let words = alt((
-        "HEALTH".value(Call::Health),
-        "DUMP".value(Call::Dump),
-        "LEAVE".value(Call::Leave),
-        "JOIN".value(Call::Join),
-        "GROUP".value(Call::Group),
-        "STEPDOWN".value(Call::StepDown),
-        "GIVEUP".value(Call::GiveUp),
-        "ZONES".value(Call::Zones),
-        zone,
+fn admin_command(input: &mut &[u8]) -> ModalResult<AdminCommand> {
+    let command = alt((
+        "HEALTH".value(AdminCommand::Health),
+        "DUMP".value(AdminCommand::Dump),
+        "LEAVE".value(AdminCommand::Leave),
+        "JOIN".value(AdminCommand::Join),
+        "GROUP".value(AdminCommand::Group),
+        "STEPDOWN".value(AdminCommand::StepDown),
+        "GIVEUP".value(AdminCommand::GiveUp),
+        "ZONES".value(AdminCommand::Zones),
+        zone_order,
     ));
-    terminated(words, eof).parse_next(input)
+    terminated(command, eof).parse_next(input)
 }
 
-impl Call {
-    /// Reads a line without its end.
-    pub fn parse(line: &[u8]) -> Option<Call> {
-        call.parse(line).ok()
+impl AdminCommand {
+    /// Parses a line without its line end; returns none for anything but a command.
+    pub fn parse(line: &[u8]) -> Option<AdminCommand> {
+        admin_command.parse(line).ok()
     }
 }
 
-/// The door.
-pub struct Door {
+/// Answers operators' commands.
+pub struct AdminServer {
     operations: Operations,
     group: Option<Rc<StatusBoard>>,
     idle: Rc<IdleConnections>,
 }
 
-impl Door {
-    /// A door to these operations, with seats of its own.
+impl AdminServer {
+    /// Returns a server for `operations`; `idle` must not be shared with clients.
     pub fn new(
         operations: Operations,
         group: Option<Rc<StatusBoard>>,
         idle: Rc<IdleConnections>,
-    ) -> Rc<Door> {
-        Rc::new(Door { operations, group, idle })
+    ) -> Rc<AdminServer> {
+        Rc::new(AdminServer { operations, group, idle })
     }
 
-    fn zones(&self) -> Option<String> {
+    fn zone_status(&self) -> Option<String> {
         self.group.as_ref()?.zone_status()
     }
 
-    fn order(&self, order: OperatorCommand) -> String {
+    fn send_to_group(&self, command: OperatorCommand) -> String {
         if let Some(group) = &self.group {
-            group.send(order);
+            group.send(command);
         }
         "200 ordered\r\n".into()
     }
 
-    fn answer(&self, call: Option<Call>) -> String {
-        match call {
-            Some(Call::Health) if self.operations.ready() => "200 ready\r\n".into(),
-            Some(Call::Health) => "400 not ready\r\n".into(),
-            Some(Call::Dump) => format!("200 figures\r\n{}EOF\r\n", self.operations.figures()),
-            Some(Call::Leave) => {
+    fn answer(&self, command: Option<AdminCommand>) -> String {
+        match command {
+            Some(AdminCommand::Health) if self.operations.ready() => "200 ready\r\n".into(),
+            Some(AdminCommand::Health) => "400 not ready\r\n".into(),
+            Some(AdminCommand::Dump) => format!("200 figures\r\n{}EOF\r\n", self.operations.figures()),
+            Some(AdminCommand::Leave) => {
                 self.operations.leave();
                 "200 draining\r\n".into()
             }
-            Some(Call::Join) => match self.operations.join() {
+            Some(AdminCommand::Join) => match self.operations.join() {
                 Ok(()) => "200 ready\r\n".into(),
                 Err(_) => "400 the program is ending\r\n".into(),
             },
-            Some(Call::Group | Call::StepDown | Call::GiveUp | Call::Zones | Call::Zone(..)) if self.group.is_none() => {
+            Some(
+                AdminCommand::Group
+                | AdminCommand::StepDown
+                | AdminCommand::GiveUp
+                | AdminCommand::Zones
+                | AdminCommand::Zone(..),
+            ) if self.group.is_none() => {
                 "400 no group here: see [group] in docs/group.md\r\n".into()
             }
-            Some(Call::Group) => {
+            Some(AdminCommand::Group) => {
                 let text = self.group.as_ref().map(|group| group.status()).unwrap_or_default();
                 format!("200 group\r\n{text}EOF\r\n")
             }
-            Some(Call::StepDown) => self.order(OperatorCommand::StepDown),
-            Some(Call::GiveUp) => self.order(OperatorCommand::ReleaseTasks),
-            Some(Call::Zones | Call::Zone(..)) if self.zones().is_none() => {
+            Some(AdminCommand::StepDown) => self.send_to_group(OperatorCommand::StepDown),
+            Some(AdminCommand::GiveUp) => self.send_to_group(OperatorCommand::ReleaseTasks),
+            Some(AdminCommand::Zones | AdminCommand::Zone(..)) if self.zone_status().is_none() => {
                 "400 no plan for zones here: see [failover] in docs/failover.md\r\n".into()
             }
-            Some(Call::Zones) => format!("200 zones\r\n{}EOF\r\n", self.zones().unwrap_or_default()),
-            Some(Call::Zone(zone, wish, lasts)) => self.order(OperatorCommand::Zone(zone, wish, lasts)),
+            Some(AdminCommand::Zones) => {
+                format!("200 zones\r\n{}EOF\r\n", self.zone_status().unwrap_or_default())
+            }
+            Some(AdminCommand::Zone(zone, order, lasts_ms)) => {
+                self.send_to_group(OperatorCommand::Zone(zone, order, lasts_ms))
+            }
             None => "400 unknown call: HEALTH, DUMP, LEAVE, JOIN, GROUP, STEPDOWN, GIVEUP, ZONES, EVACUATE, HOLD or RELEASE\r\n".into(),
         }
     }
 }
 
-/// Serves one caller from its line to its end.
-pub async fn serve(door: Rc<Door>, stream: TcpStream, from: SocketAddr) {
+/// Serves one operator connection until it is closed.
+pub async fn serve(server: Rc<AdminServer>, stream: TcpStream, from: SocketAddr) {
     let mut link = Link::new(stream);
     let answer = {
-        let slot = door.idle.acquire_slot();
+        let slot = server.idle.acquire_slot();
         let line = tokio::select! {
             biased;
             line = link.line() => line,
-            _ = slot.ended(door.idle.broker().now() + PATIENCE) => return,
+            _ = slot.ended(server.idle.broker().now() + CALL_TIMEOUT) => return,
         };
-        let call = match line {
-            // One line a connection: whoever sends more has not understood it, and nothing is done.
-            Ok(n) if n == link.buffer.data().len() => Call::parse(trimmed(link.buffer.data())),
+        let command = match line {
+            // One line per connection: more than that is a misuse of the protocol, and nothing is carried out.
+            Ok(n) if n == link.buffer.data().len() => AdminCommand::parse(trimmed(link.buffer.data())),
             Ok(_) => None,
             Err(_) if link.buffer.data().is_empty() => return,
             Err(_) => None,
         };
-        if call.is_none() {
-            let said = String::from_utf8_lossy(link.buffer.data()).into_owned();
-            tracing::warn!("operator {from}: no call that is known in {said:.40?}");
+        if command.is_none() {
+            let received = String::from_utf8_lossy(link.buffer.data()).into_owned();
+            tracing::warn!("operator {from}: not a known command: {received:.40?}");
         }
-        door.answer(call)
+        server.answer(command)
     };
     let written = async {
         if link.write(answer.as_bytes()).await.is_ok() {
-            relay::close(&door.idle, &mut link).await;
+            relay::close(&server.idle, &mut link).await;
         }
     };
     tokio::select! {
         () = written => {}
-        () = door.idle.broker().after(PATIENCE) => {}
+        () = server.idle.broker().after(CALL_TIMEOUT) => {}
     }
 }
 
@@ -188,24 +203,24 @@
     use proptest::prelude::*;
 
     #[test]
-    fn the_words_are_read_and_nothing_else() {
-        assert_eq!(Call::parse(b"HEALTH"), Some(Call::Health));
-        assert_eq!(Call::parse(b"DUMP"), Some(Call::Dump));
-        assert_eq!(Call::parse(b"LEAVE"), Some(Call::Leave));
-        assert_eq!(Call::parse(b"JOIN"), Some(Call::Join));
+    fn commands_are_parsed_and_near_misses_are_rejected() {
+        assert_eq!(AdminCommand::parse(b"HEALTH"), Some(AdminCommand::Health));
+        assert_eq!(AdminCommand::parse(b"DUMP"), Some(AdminCommand::Dump));
+        assert_eq!(AdminCommand::parse(b"LEAVE"), Some(AdminCommand::Leave));
+        assert_eq!(AdminCommand::parse(b"JOIN"), Some(AdminCommand::Join));
         for bad in
             [&b""[..], b"health", b"HEALTH ", b" HEALTH", b"HEALTHY", b"\xff\xfe", b"LEAVE JOIN", b"\0"]
         {
-            assert_eq!(Call::parse(bad), None, "{bad:?}");
+            assert_eq!(AdminCommand::parse(bad), None, "{bad:?}");
         }
     }
 
     proptest! {
-        /// Guards against a panic, and against anything but the words themselves taking a balancer out.
+        /// Guards against a panic on arbitrary bytes, and against anything but an exact command draining a balancer.
         #[test]
-        fn no_other_bytes_mean_anything(line in proptest::collection::vec(any::<u8>(), 0..40)) {
+        fn arbitrary_bytes_are_no_command_unless_equal_to_one(line in proptest::collection::vec(any::<u8>(), 0..40)) {
             let known: [&[u8]; 7] = [b"HEALTH", b"DUMP", b"LEAVE", b"JOIN", b"GROUP", b"STEPDOWN", b"GIVEUP"];
-            prop_assert_eq!(Call::parse(&line).is_some(), known.contains(&&line[..]));
+            prop_assert_eq!(AdminCommand::parse(&line).is_some(), known.contains(&&line[..]));
         }
     }
 }
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -12,7 +12,7 @@
 use crate::group::ACCOUNT_TASK;
 use crate::logging;
 use crate::net;
-use crate::net::admin::{self, Door};
+use crate::net::admin::{self, AdminServer};
 use crate::net::idle::IdleConnections;
 use crate::net::listener::{Listener, ReservedAddress};
 use crate::net::xmpp::Front;
@@ -157,15 +157,15 @@
     };
 
     // Polled by the program's main future, so before all connections in each turn of the loop.
-    let door = LocalSet::new();
+    let admin_tasks = LocalSet::new();
     if let Some(address) = admin {
         let listener = Listener::bind(address);
         let listener = listener.map_err(|e| format!("admin: {e}; give an address that is free"))?;
         let at = listener.local_address()?;
         let idle = IdleConnections::new(broker.clone(), admin::MAX_CONNECTIONS);
-        let inside = Door::new(Operations::new(broker.clone()), group.clone(), idle);
-        let serve = move |stream, from| admin::serve(inside.clone(), stream, from);
-        door.spawn_local(net::accept_connections(
+        let admin_server = AdminServer::new(Operations::new(broker.clone()), group.clone(), idle);
+        let serve = move |stream, from| admin::serve(admin_server.clone(), stream, from);
+        admin_tasks.spawn_local(net::accept_connections(
             broker.clone(),
             listener,
             ConnectionCounter::default(),
@@ -226,8 +226,8 @@
         leave(&broker, &leaving_idle, &connections, shared).await;
         clerk.write();
     };
-    let door = async {
-        door.await;
+    let admin_endpoint = async {
+        admin_tasks.await;
         std::future::pending().await
     };
     let cannot_listen = async {
@@ -238,7 +238,7 @@
     };
     tokio::select! {
         biased;
-        () = door => {}
+        () = admin_endpoint => {}
         () = ends => {}
         e = cannot_listen => return Err(e),
         // They end only with the runtime.
