--- a/src/bin/oakdeal-drill.rs
+++ b/src/bin/oakdeal-drill.rs
@@ -1,7 +1,7 @@
 //! The adapter: hosts one [`PlacementPolicy`] for each node and speaks the bench's wire on standard input and
 //! output. It decides nothing.
 
-use oakdeal::wire::{clock, reply, Line, Names, Reply};
+use oakdeal::wire::{action_reply, frame_time, Line, Names, Reply};
 use oakdeal::{Action, PlacementPolicy};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -28,7 +28,7 @@
             serde_json::from_str(&raw).map_err(|e| fault(format!("expected a message of the wire: {e}")))?;
         match (line, batch) {
             (Line::Frame { time_ms, frame }, None) => {
-                batch = Some((clock(time_ms), frame));
+                batch = Some((frame_time(time_ms), frame));
                 text.clear();
             }
             (Line::Frame { .. }, Some(_)) => {
@@ -57,7 +57,7 @@
                     actions.clear();
                     policy.handle(now, event, &mut actions);
                     for action in &actions {
-                        json(&mut text, &reply(node, action))?;
+                        json(&mut text, &action_reply(node, action))?;
                     }
                 }
             }
--- a/src/broker/instances.rs
+++ b/src/broker/instances.rs
@@ -166,7 +166,7 @@
                 tracing::info!("discovery: instance {} at {address} is {}", e.name, e.status);
             }
             let (slow, heard, pulse) = known.map(|k| (k.slow, k.heard, k.pulse)).unwrap_or_default();
-            let zone = e.zone.as_deref().and_then(|zone| names.zone(zone));
+            let zone = e.zone.as_deref().and_then(|zone| names.zone_index(zone));
             let ready_at = (e.since_ms.unwrap_or(0.0).max(0.0) * 1000.0) as Micros;
             let (cell, weight) = (e.group.unwrap_or(0), e.weight.unwrap_or(1.0));
             entries.push(Entry { host: id, state, ready_at, zone, cell, weight });
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells the program, and the form of the XMPP front's section.
+//! The platform's configuration file, and the format of the `[xmpp]` section of the operator's file.
 
 use crate::broker::instances::Listing;
 use crate::operator::spans::Span;
@@ -12,201 +12,207 @@
 /// The platform's configuration, from the file that `LB_CONFIG` names.
 #[derive(Deserialize, Debug)]
 pub struct Config {
-    /// This balancer's name.
+    /// Name of this balancer.
     #[serde(default)]
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where operators call; nobody does where this is not said.
+    /// Address of the operators' endpoint; off where neither this nor `LB_ADMIN` names one.
     pub admin: Option<String>,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Seed for random numbers, in hex.
+    /// Seed for random numbers, in hexadecimal.
     #[serde(default)]
     pub seed: String,
-    /// What the program may use.
+    /// Resources that the program may use.
     #[serde(default)]
     pub limits: Limits,
-    /// The list as this balancer last had it.
+    /// The list of instances that this balancer last received.
     pub known: Option<Listing>,
-    /// The settings, as the adapter reads them.
+    /// The settings, in the format of the bench's protocol.
     pub settings: Env,
 }
 
-/// What the program may use.
+/// Resources that the program may use.
 #[derive(Deserialize, Debug)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
+/// Number of file descriptors where the configuration states none.
+const DEFAULT_SOCKETS: usize = 1024;
+
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1024 }
+        Limits { sockets: DEFAULT_SOCKETS }
     }
 }
 
 impl Config {
-    /// Reads a file; its text too, to compare the next one with.
+    /// Reads a configuration file; returns its text too, for comparison with a later one.
     pub fn read(path: &Path) -> Result<(Config, String), String> {
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
         Ok((Config::parse(path, &text)?, text))
     }
 
-    /// Reads a text; `path` is for the message.
+    /// Parses a configuration; `path` is only named in error messages.
     pub fn parse(path: &Path, text: &str) -> Result<Config, String> {
-        serde_json::from_str(text).map_err(|e| {
-            format!("{}:{}: is no configuration: {e}; correct it there", path.display(), e.line())
-        })
+        serde_json::from_str(text)
+            .map_err(|e| format!("{}:{}: not a valid configuration: {e}", path.display(), e.line()))
     }
 
-    /// Where operators call: as the configuration says, else as `LB_ADMIN` does.
-    pub fn admin(&self, variable: Option<String>) -> Result<Option<SocketAddr>, String> {
-        let told = [("admin", self.admin.clone()), ("LB_ADMIN", variable)];
-        let mut told =
-            told.into_iter().filter_map(|(key, text)| Some((key, text.filter(|t| !t.is_empty())?)));
-        let Some((key, text)) = told.next() else { return Ok(None) };
-        let wrong =
+    /// Returns the address of the operators' endpoint: from the configuration, else from `variable`, the value of
+    /// `LB_ADMIN`. Empty values count as absent.
+    pub fn admin_address(&self, variable: Option<String>) -> Result<Option<SocketAddr>, String> {
+        let sources = [("admin", self.admin.clone()), ("LB_ADMIN", variable)];
+        let mut stated =
+            sources.into_iter().filter_map(|(key, text)| Some((key, text.filter(|t| !t.is_empty())?)));
+        let Some((key, text)) = stated.next() else { return Ok(None) };
+        let invalid =
             |_| format!("{key}: {text:?} is no address: give one like 10.0.0.4:3001, or leave it out");
-        text.parse().map(Some).map_err(wrong)
+        text.parse().map(Some).map_err(invalid)
     }
 
-    /// The names of what differs in the text of another configuration, discovery's address left out: all that
-    /// a running balancer can take over. The list that a start begins from and the seed are meant for a start.
-    pub fn ignored(before: &str, now: &str) -> Vec<String> {
-        let read = |text| serde_json::from_str(text).unwrap_or_default();
-        let (before, now): (Map<String, Value>, Map<String, Value>) = (read(before), read(now));
+    /// Returns the top-level keys that differ between two configurations and take effect only at a start. A running
+    /// balancer adopts discovery's address alone; the known list and the seed are meant for a start and are not reported.
+    pub fn changes_ignored_until_restart(before: &str, now: &str) -> Vec<String> {
+        let parse = |text| serde_json::from_str(text).unwrap_or_default();
+        let (before, now): (Map<String, Value>, Map<String, Value>) = (parse(before), parse(now));
         let names: BTreeSet<&String> = before.keys().chain(now.keys()).collect();
         let differs = |name: &&String| before.get(*name) != now.get(*name);
-        let start = |name: &str| matches!(name, "discovery" | "known" | "seed");
-        names.into_iter().filter(differs).filter(|name| !start(name)).cloned().collect()
+        let not_reported = |name: &str| matches!(name, "discovery" | "known" | "seed");
+        names.into_iter().filter(differs).filter(|name| !not_reported(name)).cloned().collect()
     }
 
-    /// The seed as a number; one that is no hex number is as good for its bytes.
-    pub fn seed(&self) -> u64 {
+    /// Returns the seed as a number; a text that is not hexadecimal is hashed.
+    pub fn random_seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16)
             .unwrap_or_else(|_| xxhash_rust::xxh64::xxh64(self.seed.as_bytes(), 0))
     }
 }
 
-/// How connections of a service are kept together.
+/// Which connections of a service are placed together.
 #[derive(Deserialize, Clone, Copy, Debug, Default, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum Grouping {
-    /// Each by its own key.
+    /// No grouping: each connection is placed by its own key.
     #[default]
     None,
-    /// All of a domain.
+    /// All connections of a domain.
     Domain,
-    /// All of one bare JID.
+    /// All connections of a bare JID.
     Jid,
 }
 
-/// A domain that is served.
+/// A domain served by the XMPP front.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct Service {
-    /// The domain that clients name in their header.
+pub struct XmppService {
+    /// Domain that clients name in their stream header.
     pub domain: String,
-    /// The class of its connections, named as in the settings.
+    /// Class of its connections, named as in the settings.
     pub class: String,
-    /// The team whose contract it is under; where it is left out, the one named like the domain, else the one
-    /// whose contract alone names the class.
+    /// Team whose contract applies; by default the team named like the domain, else the only team whose contract names
+    /// the class.
     pub team: Option<String>,
-    /// How long a log-in may take; the class's deadline where it is left out.
+    /// Time allowed to place a log-in; by default the class's deadline.
     pub deadline: Option<Span>,
-    /// What is kept together.
+    /// Which of its connections are placed together.
     #[serde(default)]
     pub group: Grouping,
-    /// SASL mechanisms offered: only such as say all in their first message can be replayed.
-    #[serde(default = "plain")]
+    /// SASL mechanisms offered. Only mechanisms whose first client message holds all credentials can be replayed to an
+    /// instance.
+    #[serde(default = "default_mechanisms")]
     pub mechanisms: Vec<String>,
 }
 
-fn plain() -> Vec<String> {
+fn default_mechanisms() -> Vec<String> {
     vec!["PLAIN".into()]
 }
 
-/// The XMPP front, a section of the operator's file.
+/// The `[xmpp]` section of the operator's file.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct Xmpp {
-    /// Where XMPP clients connect; the front is off where it is left out.
+pub struct XmppSettings {
+    /// Address that XMPP clients connect to; the front is off without it.
     pub listen: Option<SocketAddr>,
-    /// The port on which instances speak XMPP, at the addresses that discovery names.
+    /// Port on which instances accept XMPP, at the addresses that discovery reports.
     pub instance_port: Option<u16>,
-    /// Instances that speak it elsewhere, by name.
+    /// Addresses of instances that accept XMPP elsewhere, by instance name.
     #[serde(default)]
     pub instances: BTreeMap<String, SocketAddr>,
-    /// Certificate chain and key for STARTTLS, which is then required.
+    /// Certificate chain for STARTTLS, which is then required.
     pub certificate: Option<PathBuf>,
-    /// The key.
+    /// Private key of the certificate.
     pub key: Option<PathBuf>,
-    /// Where clients are sent at a drain; where it is left out they are told of the shutdown.
+    /// Host that clients are redirected to at a drain; without it they receive `system-shutdown`.
     pub other_host: Option<String>,
-    /// The longest stanza, in bytes.
-    #[serde(default = "max_stanza")]
+    /// Longest stanza, in bytes.
+    #[serde(default = "default_max_stanza")]
     pub max_stanza: usize,
-    /// How long a stanza may take from its first byte to its last.
-    #[serde(default = "stall")]
+    /// Time allowed from the first byte of a stanza to its last.
+    #[serde(default = "default_stall")]
     pub stall: Span,
-    /// How long a client may take to log in.
-    #[serde(default = "login")]
+    /// Time allowed for a client to log in.
+    #[serde(default = "default_login")]
     pub login: Span,
-    /// How long a drain waits for a stanza that is half sent.
-    #[serde(default = "finish")]
+    /// Time that a drain waits for a partly sent stanza.
+    #[serde(default = "default_finish")]
     pub finish: Span,
-    /// The services.
+    /// Domains served.
     #[serde(default)]
-    pub service: Vec<Service>,
+    pub service: Vec<XmppService>,
 }
 
-fn max_stanza() -> usize {
+fn default_max_stanza() -> usize {
     65_536
 }
 
-fn stall() -> Span {
+fn default_stall() -> Span {
     Span(5_000_000)
 }
 
-fn login() -> Span {
+fn default_login() -> Span {
     Span(10_000_000)
 }
 
-fn finish() -> Span {
+fn default_finish() -> Span {
     Span(1_000_000)
 }
 
-impl Xmpp {
-    /// What of it contradicts itself, with the mend.
-    pub fn check(&self) -> Result<(), String> {
-        // RFC 6120, 13.12: no limit under 10,000 bytes.
-        if self.max_stanza < 10_000 {
+/// Smallest limit on the length of a stanza that RFC 6120, 13.12, permits, in bytes.
+const MIN_STANZA_LIMIT_BYTES: usize = 10_000;
+
+impl XmppSettings {
+    /// Returns an error that names the first contradiction in the section and how to correct it.
+    pub fn validate(&self) -> Result<(), String> {
+        if self.max_stanza < MIN_STANZA_LIMIT_BYTES {
             return Err(format!("max_stanza must be 10000 or more, not {}", self.max_stanza));
         }
         if self.listen.is_some() && self.instance_port.is_none() && self.instances.is_empty() {
             return Err(
-                "where instances speak XMPP is not said: add instance_port or [xmpp.instances]".into()
+                "the XMPP addresses of instances are missing: add instance_port or [xmpp.instances]".into()
             );
         }
         if self.certificate.is_some() != self.key.is_some() {
-            return Err("a certificate needs a key, and a key a certificate: add the other".into());
+            return Err("certificate and key are required together: add the missing one".into());
         }
         for service in &self.service {
-            let other =
+            let unsupported =
                 service.mechanisms.iter().find(|m| !matches!(m.as_str(), "PLAIN" | "ANONYMOUS" | "EXTERNAL"));
-            if let Some(other) = other {
+            if let Some(mechanism) = unsupported {
                 let text = "cannot be replayed: use PLAIN, EXTERNAL or ANONYMOUS";
-                return Err(format!("{}: the mechanism {other} {text}", service.domain));
+                return Err(format!("{}: the mechanism {mechanism} {text}", service.domain));
             }
         }
         Ok(())
     }
 
-    /// Where an instance speaks XMPP.
-    pub fn address(&self, name: &str, address: SocketAddr) -> SocketAddr {
+    /// Returns the XMPP address of an instance that discovery reports at `address`.
+    pub fn instance_address(&self, name: &str, address: SocketAddr) -> SocketAddr {
         let port = self.instance_port.unwrap_or(address.port());
         self.instances.get(name).copied().unwrap_or(SocketAddr::new(address.ip(), port))
     }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -78,13 +78,14 @@
     pub fn demand(&self, broker: &Broker) -> Result<Demand, String> {
         let names = broker.names();
         let class = self.get("c").ok_or("names no class")?;
-        let class = names.class(class).ok_or_else(|| format!("names the unknown class {class:.40?}"))?;
+        let class =
+            names.class_index(class).ok_or_else(|| format!("names the unknown class {class:.40?}"))?;
         let left = self.get("d").ok_or("has no deadline")?;
         let left = wait_of(left).ok_or_else(|| format!("has no deadline in {left:.40?}"))?;
         let hint = self.get("h").map(|h| number_of(h).ok_or_else(|| format!("has no load in {h:.40?}")));
         Ok(Demand {
             key: Some(self.key.into()),
-            group: self.get("g").filter(|_| names.grouped()).map(Into::into),
+            group: self.get("g").filter(|_| names.has_groups()).map(Into::into),
             hint: hint.transpose()?.map(|ms| ms * 1000.0),
             repeat: self.get("r") == Some("1"),
             returned: self.get("again") == Some("1"),
--- a/src/net/xmpp/mod.rs
+++ b/src/net/xmpp/mod.rs
@@ -8,7 +8,7 @@
 use super::links;
 use crate::api::{Demand, Micros, Outcome};
 use crate::broker::{carry, Broker, Client, Command, Dialer, Ended, Execution, Failure, Gone};
-use crate::config::{Grouping, Service, Xmpp};
+use crate::config::{Grouping, XmppService, XmppSettings};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use std::cell::Cell;
@@ -28,20 +28,20 @@
 /// The front, ready to serve.
 pub struct Front {
     broker: Rc<Broker>,
-    file: Xmpp,
+    settings: XmppSettings,
     tls: Option<TlsAcceptor>,
     served: Cell<u64>,
 }
 
 impl Front {
     /// Checks what the file says: its classes, and its certificate where it names one.
-    pub fn new(broker: Rc<Broker>, file: Xmpp) -> Result<Front, String> {
-        for service in &file.service {
-            broker.names().class(&service.class).ok_or_else(|| {
+    pub fn new(broker: Rc<Broker>, settings: XmppSettings) -> Result<Front, String> {
+        for service in &settings.service {
+            broker.names().class_index(&service.class).ok_or_else(|| {
                 format!("service {}: class {} is not in the settings", service.domain, service.class)
             })?;
         }
-        let tls = match (&file.certificate, &file.key) {
+        let tls = match (&settings.certificate, &settings.key) {
             (Some(certificate), Some(key)) => {
                 let wrong = |e: &dyn std::fmt::Display| format!("certificate or key: {e}");
                 let chain: Result<Vec<_>, _> =
@@ -54,11 +54,11 @@
             (None, None) => None,
             _ => return Err("a certificate needs a key, and a key a certificate".into()),
         };
-        Ok(Front { broker, file, tls, served: Cell::new(0) })
+        Ok(Front { broker, settings, tls, served: Cell::new(0) })
     }
 
     fn bounds(&self) -> Bounds {
-        Bounds { stanza: self.file.max_stanza, stall: self.file.stall.0 }
+        Bounds { stanza: self.settings.max_stanza, stall: self.settings.stall.0 }
     }
 
     fn side(&self, stream: TcpStream) -> Side {
@@ -83,7 +83,7 @@
 
 /// A service client that has said who it is.
 struct Login<'a> {
-    service: &'a Service,
+    service: &'a XmppService,
     /// Its header and its `<auth/>`, as they came.
     header: Vec<u8>,
     auth: Vec<u8>,
@@ -94,7 +94,7 @@
 pub async fn serve(front: Rc<Front>, idle: Rc<IdleConnections>, stream: TcpStream, from: SocketAddr) {
     let broker = front.broker.clone();
     let slot = idle.acquire_slot();
-    let by = broker.now() + front.file.login.0;
+    let by = broker.now() + front.settings.login.0;
     let mut side = front.side(stream);
     let mut came = login(&front, &mut side, &slot, by).await;
     if matches!(came, Ok(Step::Tls)) {
@@ -188,7 +188,7 @@
     side: &mut Side,
     secure: bool,
     slot: &IdleSlot,
-) -> Result<(&'a Service, Vec<u8>), Parting> {
+) -> Result<(&'a XmppService, Vec<u8>), Parting> {
     // The peer's header may come with the first error: our own must stand before any error (RFC 6120, 4.9.1.2).
     let (unit, header) = match within(slot, front.broker.now() + FIRST_LINE_TIMEOUT, side.reader.unit()).await
     {
@@ -201,7 +201,7 @@
     };
     let Unit::Header(head) = unit else { return Err(Parting::Gone) };
     let domain = head.get("to").unwrap_or_default().to_string();
-    let service = front.file.service.iter().find(|s| s.domain.eq_ignore_ascii_case(&domain));
+    let service = front.settings.service.iter().find(|s| s.domain.eq_ignore_ascii_case(&domain));
     let wrong = match service {
         _ if !head.is(STREAMS, "stream") => Some("invalid-namespace"),
         _ if !head.get("version").is_some_and(|v| v.starts_with("1.")) => Some("unsupported-version"),
@@ -268,7 +268,12 @@
 }
 
 /// Who it is, from a mechanism that says all in its first message: only such can be replayed.
-fn auth(service: &Service, header: Vec<u8>, element: Element, auth: Vec<u8>) -> Result<Login<'_>, Parting> {
+fn auth(
+    service: &XmppService,
+    header: Vec<u8>,
+    element: Element,
+    auth: Vec<u8>,
+) -> Result<Login<'_>, Parting> {
     if !element.is(SASL, "auth") {
         return Err(Parting::Error("not-authorized", "log in first"));
     }
@@ -301,7 +306,7 @@
     let service = login.service;
     front.served.set(front.served.get() + 1);
     let id = format!("xmpp-{:x}-{:x}", broker.now(), front.served.get());
-    let class = broker.names().class(&service.class).unwrap_or(usize::MAX);
+    let class = broker.names().class_index(&service.class).unwrap_or(usize::MAX);
     let left = service.deadline.map_or(broker.deadline(class), |d| d.0);
     let demand = Demand {
         key: (!login.jid.is_empty()).then(|| login.jid.as_str().into()),
@@ -355,7 +360,7 @@
     type Link = Answered;
 
     async fn execute(&self, execution: &Execution) -> Result<Answered, Outcome> {
-        let address = self.front.file.address(&execution.name, execution.address);
+        let address = self.front.settings.instance_address(&execution.name, execution.address);
         let link = links::connect(&self.front.broker, address).await?;
         // Discovery may have spoken while the connection was made: nothing new to what drains.
         if !execution.still_open() {
--- a/src/net/xmpp/relay.rs
+++ b/src/net/xmpp/relay.rs
@@ -57,7 +57,7 @@
 /// Passes stanzas on until the connection ends, and ends both sides in defined ways.
 pub async fn stanzas(front: &Front, client: &mut Side, instance: &mut Side, command: &mut Command) -> Ended {
     let broker = command.broker().clone();
-    let finish = front.file.finish.0;
+    let finish = front.settings.finish.0;
     // Whether the client has been sent the header of its new stream: an error outside a stream says nothing.
     let (mut last, mut greeted) = (None, false);
     let (from_client, stop) = {
@@ -91,7 +91,7 @@
             // Only whole stanzas are ever written, but one may be stuck half way: nothing may follow it.
             () = broker.after(finish) => {}
         }
-        let farewell = match &front.file.other_host {
+        let farewell = match &front.settings.other_host {
             Some(host) => {
                 let ns = "urn:ietf:params:xml:ns:xmpp-streams";
                 let host = super::escaped(host);
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -9,7 +9,7 @@
 pub mod spans;
 
 use crate::api::{Micros, RetryBudget};
-use crate::config::Xmpp;
+use crate::config::XmppSettings;
 use crate::contracts::contract::{self, Budget, Contract, Rate, Terms, TermsError, OTHERS};
 use crate::rebalance;
 use serde::Deserialize;
@@ -36,7 +36,7 @@
     /// Slow rebalancing; none where it is not wanted.
     pub rebalance: Option<rebalance::RebalanceSettings>,
     /// The second front, where it has an address.
-    pub xmpp: Option<Xmpp>,
+    pub xmpp: Option<XmppSettings>,
     /// The balancers that decide together, where there are any.
     pub group: Option<crate::group::Settings>,
     /// Zones by the fleet's plan, where that is wanted.
@@ -75,7 +75,7 @@
     group: Option<Spanned<group::Table>>,
     failover: Option<Spanned<failover::Table>>,
     team: Vec<Spanned<TeamTable>>,
-    xmpp: Option<Spanned<Xmpp>>,
+    xmpp: Option<Spanned<XmppSettings>>,
 }
 
 #[derive(Deserialize, Default)]
@@ -323,7 +323,7 @@
             }
         }
         if let Some(xmpp) = &file.xmpp {
-            xmpp.get_ref().check().map_err(|what| wrong(Some(xmpp.span()), what))?;
+            xmpp.get_ref().validate().map_err(|what| wrong(Some(xmpp.span()), what))?;
         }
         Ok(Operator {
             terms: (!terms.contracts.is_empty()).then_some(terms),
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -86,9 +86,9 @@
     let (settings, names) = config.settings.translate().map_err(|e| e.to_string())?;
     let (peers, must_ask_in_us) = (settings.peers_total, settings.max_poll_interval);
     tracing::debug!(peers, must_ask_in_us, discovery = ?settings.discovery, "discovery: settings");
-    let seed = config.seed();
+    let seed = config.random_seed();
     let admin = config
-        .admin(std::env::var("LB_ADMIN").ok())
+        .admin_address(std::env::var("LB_ADMIN").ok())
         .map_err(|e| sources.config.display().to_string() + ": " + &e)?;
     let descriptors = config.limits.sockets.saturating_sub(RESERVED);
     let idle_capacity = descriptors / IDLE_PART;
@@ -325,7 +325,7 @@
     });
     match read {
         Ok((config, now)) => {
-            let ignored = match &Config::ignored(begun, &now)[..] {
+            let ignored = match &Config::changes_ignored_until_restart(begun, &now)[..] {
                 [] => String::new(),
                 names => format!("; ignored until the next start: {}", names.join(", ")),
             };
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,31 +1,47 @@
-//! The bench's wire: serde types and their translation to and from [`crate::api`]. No decision.
+//! The line protocol of the simulation bench: serde types and their translation to and from [`crate::api`]. It takes no
+//! placement decisions. Field names and the order of fields and variants are part of the protocol.
 
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Nines that earn all of their part of the goal where the settings leave that out.
-const NINES_WANTED: f64 = 3.0;
-
-fn us(ms: f64) -> Micros {
+/// Number of nines of availability that earns the full weight of that goal, where the settings do not state it
+/// (unitless).
+const DEFAULT_NINES_WANTED: f64 = 3.0;
+
+/// Bit of a demand's options: the predicted load is valid.
+const OPTION_PREDICTED: u32 = 1;
+/// Bit of a demand's options: the client is known to repeat an earlier try.
+const OPTION_REPEAT: u32 = 2;
+/// Bit of a demand's options: packets of an open connection now arrive at this node.
+const OPTION_MID_FLOW: u32 = 8;
+/// Bit of a demand's options: the client reconnects after a break or a move.
+const OPTION_RETURNED: u32 = 16;
+
+/// Kind of a note that reports the load of a call.
+const NOTE_LOAD: u32 = 1;
+/// Kind of a note that reports the message delay at a host.
+const NOTE_DELAY: u32 = 2;
+
+fn to_micros(ms: f64) -> Micros {
     (ms.max(0.0) * 1000.0).round() as Micros
 }
 
-fn ms(us: Micros) -> f64 {
+fn to_millis(us: Micros) -> f64 {
     us as f64 / 1000.0
 }
 
-/// A name, or the 0 that stands for none.
+/// A name, or the number 0 that is sent where there is none.
 #[derive(Deserialize, Debug, Clone, PartialEq)]
 #[serde(untagged)]
 pub enum Name {
-    /// A name.
+    /// The name.
     Text(Arc<str>),
-    /// A number in its place.
+    /// A number sent in place of a name.
     Number(f64),
 }
 
-/// The settings as they arrive; keys that are not known are skipped.
+/// The settings as received; unknown keys are ignored.
 #[derive(Deserialize, Debug, Default)]
 #[serde(rename_all = "PascalCase", default)]
 #[allow(missing_docs)]
@@ -60,7 +76,7 @@
     pub worth: Option<f64>,
 }
 
-/// Facts of the kind of service.
+/// Properties of the kind of service.
 #[derive(Deserialize, Debug, Default)]
 #[serde(rename_all = "PascalCase", default)]
 #[allow(missing_docs)]
@@ -71,7 +87,7 @@
     pub tenant_quota_connections: Option<Vec<Option<f64>>>,
 }
 
-/// How much each part of the result weighs.
+/// Weights of the parts of the goal.
 #[derive(Deserialize, Debug, Default)]
 #[serde(rename_all = "PascalCase", default)]
 #[allow(missing_docs)]
@@ -80,7 +96,7 @@
     pub nines_wanted: Option<f64>,
 }
 
-/// The figures behind the rules.
+/// Parameters of the rules that the module must keep.
 #[derive(Deserialize, Debug, Default)]
 #[serde(rename_all = "PascalCase", default)]
 #[allow(missing_docs)]
@@ -97,7 +113,7 @@
     pub overload_factor: Option<f64>,
 }
 
-/// What the site allows.
+/// Limits set by the site.
 #[derive(Deserialize, Debug, Default)]
 #[serde(rename_all = "PascalCase", default)]
 #[allow(missing_docs)]
@@ -109,7 +125,7 @@
     pub send_cap: Option<u32>,
 }
 
-/// What costs service.
+/// Costs of placement choices, in units of service.
 #[derive(Deserialize, Debug, Default)]
 #[serde(rename_all = "PascalCase", default)]
 #[allow(missing_docs)]
@@ -117,7 +133,7 @@
     pub cross_zone: Option<f64>,
 }
 
-/// Reports of load.
+/// Load reports sent by hosts.
 #[derive(Deserialize, Debug, Default)]
 #[serde(rename_all = "PascalCase", default)]
 #[allow(missing_docs)]
@@ -139,7 +155,7 @@
     pub look_back_ms: Option<f64>,
 }
 
-/// One line of the list.
+/// One entry of the list of hosts.
 #[derive(Deserialize, Debug)]
 #[serde(rename_all = "PascalCase")]
 #[allow(missing_docs)]
@@ -161,7 +177,7 @@
     Gone,
 }
 
-/// Kind of list news.
+/// Kind of a list update: changes (D), full (F), cached (C) or failed (X).
 #[derive(Deserialize, Debug, Clone, Copy)]
 #[allow(missing_docs)]
 pub enum Mode {
@@ -171,7 +187,7 @@
     X,
 }
 
-/// The fields that a request and an adopted connection share.
+/// Fields of a new request or of an adopted connection.
 #[derive(Deserialize, Debug)]
 #[serde(rename_all = "PascalCase")]
 #[allow(missing_docs)]
@@ -188,7 +204,7 @@
     pub host: Option<HostId>,
 }
 
-/// A load report; values that the module does not use are skipped.
+/// A load report; values that the module does not use are ignored.
 #[derive(Deserialize, Debug, Default)]
 #[serde(default)]
 #[allow(missing_docs)]
@@ -307,85 +323,87 @@
     },
 }
 
-/// What a node's names stand for, so that the module sees only indices.
+/// Names of a node's classes, tenants and zones by index; the module uses only the indices.
 #[derive(Debug, Default)]
 pub struct Names {
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
-    /// The settings say that connections share no work: what stands in the place of a group is none.
+    /// Set where the settings state that connections share no work: the group of a demand is then ignored.
     ungrouped: bool,
 }
 
-fn index(names: &[String], name: &str) -> Option<usize> {
+fn position(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
-/// A span of 0 limits nothing; a figure that is left out grants nothing.
-fn budget(look_back_ms: Option<f64>, free: Option<f64>, share: Option<f64>) -> Option<RetryBudget> {
-    let span = us(look_back_ms.filter(|&span| span != 0.0)?);
+/// Returns the retry budget, or none where the window is 0 or absent. Other absent values count as 0.
+fn retry_budget(look_back_ms: Option<f64>, free: Option<f64>, share: Option<f64>) -> Option<RetryBudget> {
+    let span = to_micros(look_back_ms.filter(|&span_ms| span_ms != 0.0)?);
     Some(RetryBudget { free: free.unwrap_or(0.0), share: share.unwrap_or(0.0), span })
 }
 
 impl Names {
-    /// The classes' names, by index.
+    /// Returns the names of the classes by index.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// The index of a class.
-    pub fn class(&self, name: &str) -> Option<usize> {
-        index(&self.classes, name)
+    /// Returns the index of a class.
+    pub fn class_index(&self, name: &str) -> Option<usize> {
+        position(&self.classes, name)
     }
 
-    /// The tenants' names, by index.
+    /// Returns the names of the tenants by index.
     pub fn tenants(&self) -> &[String] {
         &self.tenants
     }
 
-    /// The index of a tenant.
-    pub fn tenant(&self, name: &str) -> Option<usize> {
-        index(&self.tenants, name)
+    /// Returns the index of a tenant.
+    pub fn tenant_index(&self, name: &str) -> Option<usize> {
+        position(&self.tenants, name)
     }
 
-    /// Whether connections belong to groups.
-    pub fn grouped(&self) -> bool {
+    /// Returns whether connections may belong to groups.
+    pub fn has_groups(&self) -> bool {
         !self.ungrouped
     }
 
-    /// The zones' names, by index.
+    /// Returns the names of the zones by index.
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
-    /// The index of a zone.
-    pub fn zone(&self, name: &str) -> Option<usize> {
-        index(&self.zones, name)
+    /// Returns the index of a zone.
+    pub fn zone_index(&self, name: &str) -> Option<usize> {
+        position(&self.zones, name)
     }
 }
 
 impl Env {
-    /// The settings as the module wants them, and the names that they used.
+    /// Translates the settings for the module, and returns the names that they use.
     pub fn translate(&self) -> Result<(Settings, Names), SettingsError> {
-        let base = Settings::default();
+        let defaults = Settings::default();
         let info = self.family_info.as_ref();
         let message_aims = info.and_then(|f| f.message_aim_ms.clone()).unwrap_or_default();
         let quotas = info.and_then(|f| f.tenant_quota_connections.clone()).unwrap_or_default();
         let projects = self.projects.as_deref().unwrap_or_default();
-        let no_rules = Guarantees::default();
-        let rules = self.guarantees.as_ref().unwrap_or(&no_rules);
-        if let Some(span) = rules.look_back_ms.filter(|span| !span.is_finite() || *span < 0.0) {
-            return Err(SettingsError(format!("Guarantees.LookBackMs must not be negative, not {span}")));
+        let default_guarantees = Guarantees::default();
+        let guarantees = self.guarantees.as_ref().unwrap_or(&default_guarantees);
+        if let Some(look_back_ms) = guarantees.look_back_ms.filter(|ms| !ms.is_finite() || *ms < 0.0) {
+            return Err(SettingsError(format!(
+                "Guarantees.LookBackMs must be a finite number of at least 0, not {look_back_ms}"
+            )));
         }
-        let no_limits = PolicyLimits::default();
-        let limits = self.policy_limits.as_ref().unwrap_or(&no_limits);
+        let default_limits = PolicyLimits::default();
+        let limits = self.policy_limits.as_ref().unwrap_or(&default_limits);
         let classes = self.classes.as_deref().unwrap_or_default();
         let settings = Settings {
             classes: classes
                 .iter()
                 .enumerate()
                 .map(|(i, c)| Class {
-                    setup_target: us(c.aim_ms.unwrap_or(0.0)),
+                    setup_target: to_micros(c.aim_ms.unwrap_or(0.0)),
                     repeat_safety: match c.effect.as_deref() {
                         Some("free") => RepeatSafety::Idempotent,
                         Some("guarded") => RepeatSafety::Deduplicated,
@@ -396,9 +414,9 @@
                         Some("zone") => DedupScope::Zone,
                         _ => DedupScope::Cell,
                     },
-                    dedup_window: us(c.window_ms.unwrap_or(0.0)),
-                    message_delay_target: us(message_aims.get(i).copied().flatten().unwrap_or(0.0)),
-                    deadline: us(c.deadline_ms.unwrap_or(0.0)),
+                    dedup_window: to_micros(c.window_ms.unwrap_or(0.0)),
+                    message_delay_target: to_micros(message_aims.get(i).copied().flatten().unwrap_or(0.0)),
+                    deadline: to_micros(c.deadline_ms.unwrap_or(0.0)),
                     worth: c.worth.filter(|w| w.is_finite()).unwrap_or(0.0),
                 })
                 .collect(),
@@ -408,50 +426,61 @@
                 .map(|(i, p)| Tenant {
                     fraction: p.fraction.unwrap_or(0.0),
                     quota: quotas.get(i).copied().flatten(),
-                    deadline: p.deadline_ms.map(us),
+                    deadline: p.deadline_ms.map(to_micros),
                     sends: p.send_cap,
-                    budget: budget(p.look_back_ms, p.free_resends, p.extra_share),
+                    budget: retry_budget(p.look_back_ms, p.free_resends, p.extra_share),
                 })
                 .collect(),
-            over_share_worth: self.over_share_worth.unwrap_or(base.over_share_worth),
-            zones: self.areas.as_ref().map_or(base.zones, Vec::len),
-            zone: self.my_zone.as_deref().and_then(|z| index(self.areas.as_deref().unwrap_or_default(), z)),
+            over_share_worth: self.over_share_worth.unwrap_or(defaults.over_share_worth),
+            zones: self.areas.as_ref().map_or(defaults.zones, Vec::len),
+            zone: self
+                .my_zone
+                .as_deref()
+                .and_then(|z| position(self.areas.as_deref().unwrap_or_default(), z)),
             cross_zone_price: self.prices.as_ref().and_then(|p| p.cross_zone).unwrap_or(0.0),
-            peers_total: self.peers_total.unwrap_or(base.peers_total),
+            peers_total: self.peers_total.unwrap_or(defaults.peers_total),
             discovery: match self.registry_mode.as_deref() {
                 Some("subscribe") => Discovery::Asked,
                 _ => Discovery::Pushed,
             },
             weights_are_sizes: matches!(self.weights.as_deref(), Some("nominal" | "rough")),
             limits: Limits {
-                max_attempts: limits.send_cap.unwrap_or(base.limits.max_attempts),
+                max_attempts: limits.send_cap.unwrap_or(defaults.limits.max_attempts),
                 probes_report_load: limits.probes.unwrap_or(false)
                     && self.report.as_ref().is_some_and(|r| r.names.iter().flatten().any(|n| n == "x0")),
                 max_retry_after: limits
                     .max_retry_after_ms
                     .filter(|_| limits.retry_after == Some(true))
-                    .map(us),
+                    .map(to_micros),
                 probes: limits.probes.unwrap_or(false),
             },
             rules: Rules {
-                cold_share: rules.cold_share.unwrap_or(base.rules.cold_share),
-                warmup_time: us(rules.cold_ms.unwrap_or(0.0)),
-                overload_factor: rules.overload_factor.unwrap_or(base.rules.overload_factor),
-                overload_failure_time: rules.fall_ms.map_or(base.rules.overload_failure_time, us),
-                drain_grace: us(rules.drain_grace_ms.unwrap_or(0.0)),
-                budget: budget(rules.look_back_ms, rules.free_resends, rules.extra_share),
-                unlisted_hosts_usable: rules.dropped_stay_open.unwrap_or(false),
+                cold_share: guarantees.cold_share.unwrap_or(defaults.rules.cold_share),
+                warmup_time: to_micros(guarantees.cold_ms.unwrap_or(0.0)),
+                overload_factor: guarantees.overload_factor.unwrap_or(defaults.rules.overload_factor),
+                overload_failure_time: guarantees
+                    .fall_ms
+                    .map_or(defaults.rules.overload_failure_time, to_micros),
+                drain_grace: to_micros(guarantees.drain_grace_ms.unwrap_or(0.0)),
+                budget: retry_budget(
+                    guarantees.look_back_ms,
+                    guarantees.free_resends,
+                    guarantees.extra_share,
+                ),
+                unlisted_hosts_usable: guarantees.dropped_stay_open.unwrap_or(false),
             },
-            // A goal that names one of the two figures only is not whole: three nines are assumed then.
+            // A goal may state only one of the two values: an absent part counts as 0, absent nines as three.
             nines: self.goal.as_ref().and_then(|g| match (g.nines_part, g.nines_wanted) {
                 (None, None) => None,
                 (part, wanted) => {
-                    Some(Nines { part: part.unwrap_or(0.0), wanted: wanted.unwrap_or(NINES_WANTED) })
+                    Some(Nines { part: part.unwrap_or(0.0), wanted: wanted.unwrap_or(DEFAULT_NINES_WANTED) })
                 }
             }),
-            message_delays_reported: info.and_then(|f| f.tells_delay).unwrap_or(base.message_delays_reported),
-            connect_timeout: limits.connect_timeout_ms.map_or(base.connect_timeout, us),
-            max_poll_interval: rules.must_ask_in_ms.map(us),
+            message_delays_reported: info
+                .and_then(|f| f.tells_delay)
+                .unwrap_or(defaults.message_delays_reported),
+            connect_timeout: limits.connect_timeout_ms.map_or(defaults.connect_timeout, to_micros),
+            max_poll_interval: guarantees.must_ask_in_ms.map(to_micros),
         };
         let names = Names {
             classes: classes.iter().map(|c| c.name.clone().unwrap_or_default()).collect(),
@@ -466,23 +495,26 @@
 impl WireDemand {
     fn translate(self, names: &Names) -> Demand {
         let class = match &self.class {
-            Name::Text(t) => index(&names.classes, t).unwrap_or(usize::MAX),
+            Name::Text(t) => position(&names.classes, t).unwrap_or(usize::MAX),
             Name::Number(_) => usize::MAX,
         };
         Demand {
             call: CallId(self.call),
             class,
             tenant: match &self.billing {
-                Some(Name::Text(t)) => index(&names.tenants, t),
+                Some(Name::Text(t)) => position(&names.tenants, t),
                 _ => None,
             },
             key: self.path_key,
             group: self.channel,
-            left: us(self.left_ms),
-            hint: self.predicted_ms.filter(|_| self.options.unwrap_or(0) & 1 != 0).map(|ms| ms * 1000.0),
-            mid_flow: self.options.unwrap_or(0) & 8 != 0,
-            repeat: self.options.unwrap_or(0) & 2 != 0,
-            returned: self.options.unwrap_or(0) & 16 != 0,
+            left: to_micros(self.left_ms),
+            hint: self
+                .predicted_ms
+                .filter(|_| self.options.unwrap_or(0) & OPTION_PREDICTED != 0)
+                .map(|ms| ms * 1000.0),
+            mid_flow: self.options.unwrap_or(0) & OPTION_MID_FLOW != 0,
+            repeat: self.options.unwrap_or(0) & OPTION_REPEAT != 0,
+            returned: self.options.unwrap_or(0) & OPTION_RETURNED != 0,
             zones: None,
         }
     }
@@ -497,15 +529,15 @@
                 Status::Terminating => HostState::Draining,
                 Status::Gone => HostState::Gone,
             },
-            ready_at: us(self.ready_at_ms.unwrap_or(0.0)),
-            zone: self.region_part.as_deref().and_then(|z| index(&names.zones, z)),
+            ready_at: to_micros(self.ready_at_ms.unwrap_or(0.0)),
+            zone: self.region_part.as_deref().and_then(|z| position(&names.zones, z)),
             cell: self.group.unwrap_or(0),
             weight: self.heft.unwrap_or(1.0),
         }
     }
 }
 
-fn outcome(code: u32) -> Result<Outcome, String> {
+fn parse_outcome(code: u32) -> Result<Outcome, String> {
     Ok(match code {
         0 => Outcome::Ok,
         1 => Outcome::Error,
@@ -515,12 +547,12 @@
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
         7 => Outcome::Moot,
-        _ => return Err(format!("Code must be 0 to 7, not {code}")),
+        _ => return Err(format!("Code must be between 0 and 7, not {code}")),
     })
 }
 
 impl Line {
-    /// The node that a line is for; none for the lines that frame a batch.
+    /// Returns the node that a line is for; none for lines that begin or end a batch.
     pub fn node(&self) -> Option<u32> {
         Some(match self {
             Line::Frame { .. } | Line::EofBatch {} => return None,
@@ -538,7 +570,7 @@
         })
     }
 
-    /// The event that a line tells; none where it tells the module nothing.
+    /// Translates a line to an event of the module; none for lines that the module does not handle.
     pub fn event(self, names: &Names) -> Result<Option<Event>, String> {
         Ok(Some(match self {
             Line::Frame { .. }
@@ -557,26 +589,30 @@
             },
             Line::Demand(d) => Event::Demand(d.translate(names)),
             Line::Adopted(d) => {
-                let host = d.host.ok_or("Adopted needs the field Host")?;
+                let host = d.host.ok_or("Adopted lacks the field Host")?;
                 Event::Adopted(d.translate(names), host)
             }
             Line::Opened { call, host, cost_time_ms, .. } => {
-                Event::Opened { call: CallId(call), host, elapsed: us(cost_time_ms) }
+                Event::Opened { call: CallId(call), host, elapsed: to_micros(cost_time_ms) }
+            }
+            Line::Note { call, kind: NOTE_LOAD, level, .. } => {
+                Event::LoadNote { call: CallId(call), load: level }
+            }
+            Line::Note { host, kind: NOTE_DELAY, level, .. } => {
+                Event::DelayNote { host, delay: to_micros(level) }
             }
-            Line::Note { call, kind: 1, level, .. } => Event::LoadNote { call: CallId(call), load: level },
-            Line::Note { host, kind: 2, level, .. } => Event::DelayNote { host, delay: us(level) },
             Line::Note { .. } => return Ok(None),
             Line::Finished { call, cost_time_ms, code, host, copy, ended, .. } => Event::Finished {
                 call: CallId(call),
                 attempt: copy,
                 host,
-                outcome: outcome(code)?,
-                elapsed: us(cost_time_ms),
+                outcome: parse_outcome(code)?,
+                elapsed: to_micros(cost_time_ms),
                 ended,
             },
             Line::Pong { host, code, server_stats, .. } => {
                 let load = server_stats.and_then(|s| s.x0).filter(|x| x.is_finite());
-                Event::Probed { host, outcome: outcome(code)?, load }
+                Event::Probed { host, outcome: parse_outcome(code)?, load }
             }
             Line::Vanished { call, .. } => Event::Vanished { call: CallId(call) },
             Line::DeadlineHit { handle, .. } => Event::Timer { token: handle },
@@ -584,24 +620,24 @@
     }
 }
 
-/// The line for an action.
-pub fn reply(node: u32, action: &Action) -> Reply<'_> {
+/// Translates an action to a line of output.
+pub fn action_reply(node: u32, action: &Action) -> Reply<'_> {
     match action {
         Action::Send { call, host, patience } => {
-            Reply::HandOff { node, call: &call.0, host: *host, patience_ms: ms(*patience) }
+            Reply::HandOff { node, call: &call.0, host: *host, patience_ms: to_millis(*patience) }
         }
         Action::Refuse { call, retry_after } => {
-            Reply::SayNo { node, call: &call.0, retry_after_ms: retry_after.map(ms) }
+            Reply::SayNo { node, call: &call.0, retry_after_ms: retry_after.map(to_millis) }
         }
         Action::Fail { call } => Reply::EndFailed { node, call: &call.0 },
         Action::Move { call } => Reply::Relocate { node, call: &call.0 },
         Action::Probe { host } => Reply::Inspect { node, host: *host },
-        Action::Timer { at, token } => Reply::Remind { node, at_ms: ms(*at), handle: *token },
+        Action::Timer { at, token } => Reply::Remind { node, at_ms: to_millis(*at), handle: *token },
         Action::Watch => Reply::KeepInformed { node, want: true },
     }
 }
 
-/// The clock of a `Frame` line, as the module counts it.
-pub fn clock(time_ms: f64) -> Micros {
-    us(time_ms)
+/// Converts the time of a `Frame` line to the module's unit.
+pub fn frame_time(time_ms: f64) -> Micros {
+    to_micros(time_ms)
 }
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -36,7 +36,7 @@
     let lines: Vec<&str> = reports.iter().filter_map(|r| r.split(':').next()).collect();
     assert_eq!(lines, ["2", "6", "7", "8", "9"], "{reports:#?}");
     let (settings, names) = config.settings.translate().expect("settings");
-    let tenant = &settings.tenants[names.tenant("desks").unwrap()];
+    let tenant = &settings.tenants[names.tenant_index("desks").unwrap()];
     assert_eq!((tenant.sends, tenant.deadline), (Some(3), Some(4_000_000)));
     assert_eq!(settings.connect_timeout, 200_000);
 }
