--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,7 +1,7 @@
 //! The operators' endpoint: each connection carries one command line and its answer, and is then closed. It has its own
 //! bounded set of idle connections, so silent callers take nothing from clients, and a new caller evicts the oldest.
 
-use super::buffer::trimmed;
+use super::buffer::strip_line_end;
 use super::idle::IdleConnections;
 use super::links::Link;
 use super::relay;
@@ -170,12 +170,12 @@
         let slot = server.idle.acquire_slot();
         let line = tokio::select! {
             biased;
-            line = link.line() => line,
+            line = link.read_line() => line,
             _ = slot.ended(server.idle.broker().now() + CALL_TIMEOUT) => return,
         };
         let command = match line {
             // One line per connection: more than that is a misuse of the protocol, and nothing is carried out.
-            Ok(n) if n == link.buffer.data().len() => AdminCommand::parse(trimmed(link.buffer.data())),
+            Ok(n) if n == link.buffer.data().len() => AdminCommand::parse(strip_line_end(link.buffer.data())),
             Ok(_) => None,
             Err(_) if link.buffer.data().is_empty() => return,
             Err(_) => None,
@@ -187,7 +187,7 @@
         server.answer(command)
     };
     let written = async {
-        if link.write(answer.as_bytes()).await.is_ok() {
+        if link.write_all(answer.as_bytes()).await.is_ok() {
             relay::close(&server.idle, &mut link).await;
         }
     };
--- a/src/net/buffer.rs
+++ b/src/net/buffer.rs
@@ -1,79 +1,85 @@
-//! The one buffer of a connection: grows as it needs, up to a bound, and is compacted in place.
+//! The read buffer of a connection: it grows on demand up to a bound that the caller gives, and is compacted in place.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::TcpStream;
 
-/// The longest line, its end included.
-pub const LINE: usize = 4096;
-/// What one reading asks for.
-const STEP: usize = 1024;
+/// Longest line of the line protocols, its line end included, in bytes.
+pub const MAX_LINE_BYTES: usize = 4096;
+/// Smallest free space offered to a read, in bytes.
+const READ_BYTES: usize = 1024;
 
-/// What has been read from a connection and not been taken yet.
+/// Bytes that have been read from a connection and not been consumed.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
+    /// Number of bytes at the front that have been consumed.
     start: usize,
 }
 
 impl Buffer {
-    /// What is there.
+    /// Returns the bytes that have not been consumed.
     pub fn data(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Takes the first bytes away.
+    /// Drops the first `n` bytes.
     pub fn consume(&mut self, n: usize) {
         self.start = (self.start + n).min(self.bytes.len());
         if self.start == self.bytes.len() {
             self.bytes.clear();
             self.start = 0;
-            // One that had to grow gives the memory back: most connections are idle most of the time.
-            self.bytes.shrink_to(2 * STEP);
+            // Releases the memory of a buffer that had to grow: most connections are idle most of the time.
+            self.bytes.shrink_to(2 * READ_BYTES);
         }
     }
 
-    /// Makes room for a reading, up to `most` bytes in all.
-    fn make_room(&mut self, most: usize) {
-        if self.bytes.capacity() - self.bytes.len() < STEP {
+    /// Reserves space for a read, up to `max_bytes` in the buffer.
+    fn reserve(&mut self, max_bytes: usize) {
+        if self.bytes.capacity() - self.bytes.len() < READ_BYTES {
             self.bytes.drain(..self.start);
             self.start = 0;
-            let room = most.saturating_sub(self.bytes.len()).min(self.bytes.len().max(STEP));
+            let room = max_bytes.saturating_sub(self.bytes.len()).min(self.bytes.len().max(READ_BYTES));
             self.bytes.reserve(room.max(1));
         }
     }
 
-    /// Reads what has come, if it is under `most` bytes yet: 0 is the end of the stream.
-    pub fn fill(&mut self, stream: &TcpStream, most: usize) -> io::Result<usize> {
-        self.make_room(most);
+    /// Reads the bytes that are available without waiting into a buffer that holds fewer than `max_bytes`. Returns 0 at
+    /// the end of the stream.
+    pub fn try_read(&mut self, stream: &TcpStream, max_bytes: usize) -> io::Result<usize> {
+        self.reserve(max_bytes);
         stream.try_read_buf(&mut self.bytes)
     }
 
-    /// Reads until something has come: 0 is the end of the stream.
-    pub async fn filled(&mut self, stream: &TcpStream, most: usize) -> io::Result<usize> {
+    /// Waits until bytes are available and reads them. Returns 0 at the end of the stream.
+    pub async fn read_tcp(&mut self, stream: &TcpStream, max_bytes: usize) -> io::Result<usize> {
         loop {
             stream.readable().await?;
-            match self.fill(stream, most) {
+            match self.try_read(stream, max_bytes) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 other => return other,
             }
         }
     }
 
-    /// Reads from any stream until something has come: 0 is its end.
-    pub async fn read(&mut self, from: &mut (impl AsyncRead + Unpin), most: usize) -> io::Result<usize> {
-        self.make_room(most);
+    /// Waits for bytes from any stream and reads them. Returns 0 at its end.
+    pub async fn read_from(
+        &mut self,
+        from: &mut (impl AsyncRead + Unpin),
+        max_bytes: usize,
+    ) -> io::Result<usize> {
+        self.reserve(max_bytes);
         from.read_buf(&mut self.bytes).await
     }
 
-    /// The length of the first line, its end included; none where it has not come whole.
-    pub fn line(&self) -> Option<usize> {
+    /// Returns the length of the first line, its line end included; none where it is not complete.
+    pub fn first_line_len(&self) -> Option<usize> {
         self.data().iter().position(|&b| b == b'\n').map(|i| i + 1)
     }
 }
 
-/// A line without its end.
-pub fn trimmed(line: &[u8]) -> &[u8] {
+/// Returns a line without its line end.
+pub fn strip_line_end(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     line.strip_suffix(b"\r").unwrap_or(line)
 }
--- a/src/net/links.rs
+++ b/src/net/links.rs
@@ -1,6 +1,6 @@
-//! Links to instances: connecting within the time allowed, the first line, and probes.
+//! Buffered connections of the line protocols; connecting to an instance, starting an execution there, and probes.
 
-use super::buffer::{trimmed, Buffer, LINE};
+use super::buffer::{strip_line_end, Buffer, MAX_LINE_BYTES};
 use crate::api::{HostId, Outcome};
 use crate::broker::{Broker, Execution};
 use std::io;
@@ -8,22 +8,22 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// A connection, read through its buffer.
+/// A TCP connection with its read buffer.
 pub struct Link {
     /// The socket.
     pub stream: TcpStream,
-    /// What it brought and nobody took.
+    /// Bytes that were read and not consumed.
     pub buffer: Buffer,
 }
 
 impl Link {
-    /// A link with nothing read yet.
+    /// Returns a link on which nothing has been read.
     pub fn new(stream: TcpStream) -> Link {
         Link { stream, buffer: Buffer::default() }
     }
 
-    /// Writes all of it.
-    pub async fn write(&self, mut bytes: &[u8]) -> io::Result<()> {
+    /// Writes all bytes.
+    pub async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             self.stream.writable().await?;
             match self.stream.try_write(bytes) {
@@ -35,57 +35,58 @@
         Ok(())
     }
 
-    /// Reads until a whole line is there, and tells its length. The end of the stream and a line that is too
+    /// Reads until the buffer holds a whole line, and returns its length. The end of the stream and a line that is too
     /// long are errors.
-    pub async fn line(&mut self) -> io::Result<usize> {
+    pub async fn read_line(&mut self) -> io::Result<usize> {
         loop {
-            match self.buffer.line() {
-                Some(n) if n <= LINE => return Ok(n),
-                None if self.buffer.data().len() < LINE => {}
+            match self.buffer.first_line_len() {
+                Some(n) if n <= MAX_LINE_BYTES => return Ok(n),
+                None if self.buffer.data().len() < MAX_LINE_BYTES => {}
                 _ => return Err(io::Error::new(io::ErrorKind::InvalidData, "a line of over 4 KiB")),
             }
-            if self.buffer.filled(&self.stream, LINE).await? == 0 {
+            if self.buffer.read_tcp(&self.stream, MAX_LINE_BYTES).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
     }
 }
 
-/// Connects to an instance. What does not come up in time never ran there.
+/// Connects to an instance within the connect timeout. On an error nothing has run there.
 pub async fn connect(broker: &Rc<Broker>, address: SocketAddr) -> Result<Link, Outcome> {
     let stream = tokio::select! {
-        came = TcpStream::connect(address) => came.map_err(|_| Outcome::ConnectFailed)?,
+        connected = TcpStream::connect(address) => connected.map_err(|_| Outcome::ConnectFailed)?,
         () = broker.after(broker.connect_timeout()) => return Err(Outcome::ConnectFailed),
     };
     let _ = stream.set_nodelay(true);
     Ok(Link::new(stream))
 }
 
-/// Sends an execution's first line and waits for the instance's: left in the link's buffer if it is `UP`.
-pub async fn place(
+/// Sends the first line of an execution and waits for the instance's answer. `UP` is left in the link's buffer; any other
+/// answer ends the execution.
+pub async fn start_execution(
     broker: &Rc<Broker>,
     execution: &Execution,
     address: SocketAddr,
-    first: impl FnOnce() -> String,
+    first_line: impl FnOnce() -> String,
 ) -> Result<Link, Outcome> {
     let mut link = connect(broker, address).await?;
-    // Discovery may have spoken while the connection was made: nothing new to what drains.
+    // A list update may have arrived while the connection was made: a draining instance gets nothing new.
     if !execution.still_open() {
         return Err(Outcome::Moot);
     }
-    let line = first();
-    // It breaks before the line's last byte is written: it never ran.
-    link.write(line.as_bytes()).await.map_err(|_| Outcome::ConnectFailed)?;
+    let line = first_line();
+    // The connection broke before the last byte of the line was written: the command never ran.
+    link.write_all(line.as_bytes()).await.map_err(|_| Outcome::ConnectFailed)?;
     execution.written();
-    let n = match link.line().await {
+    let n = match link.read_line().await {
         Ok(n) => n,
         Err(e) if e.kind() == io::ErrorKind::InvalidData => {
-            tracing::warn!("instance {}: answered with {e}", execution.name);
+            tracing::warn!("instance {}: invalid answer: {e}", execution.name);
             return Err(Outcome::Error);
         }
         Err(_) => return Err(Outcome::Reset),
     };
-    let answer = trimmed(&link.buffer.data()[..n]);
+    let answer = strip_line_end(&link.buffer.data()[..n]);
     match answer.split(|&b| b == b' ').next().unwrap_or_default() {
         b"UP" => Ok(link),
         b"BUSY" => Err(Outcome::Full),
@@ -94,31 +95,31 @@
         b"ERR" => Err(Outcome::Error),
         _ => {
             let answer = String::from_utf8_lossy(answer);
-            tracing::warn!("instance {}: answered {answer:.40?}: taken for an error", execution.name);
+            tracing::warn!("instance {}: unknown answer {answer:.40?}, treated as an error", execution.name);
             Err(Outcome::Error)
         }
     }
 }
 
-/// One probe, on a connection of its own.
+/// Probes an instance on a connection of its own and reports the outcome to the broker.
 pub async fn probe(broker: Rc<Broker>, host: HostId, address: SocketAddr) {
     let Some(_guard) = broker.descriptors(1) else { return };
-    let asked = async {
+    let answered = async {
         let mut link = connect(&broker, address).await?;
-        link.write(b"PING\r\n").await.map_err(|_| Outcome::ConnectFailed)?;
-        let n = link.line().await.map_err(|_| Outcome::Reset)?;
-        match trimmed(&link.buffer.data()[..n]) {
+        link.write_all(b"PING\r\n").await.map_err(|_| Outcome::ConnectFailed)?;
+        let n = link.read_line().await.map_err(|_| Outcome::Reset)?;
+        match strip_line_end(&link.buffer.data()[..n]) {
             b"PONG" => Ok(()),
             _ => Err(Outcome::Error),
         }
     };
-    // The module has a time of its own for probes; this one only ends those that nobody waits for.
-    let came = tokio::select! {
-        came = asked => came,
-        () = broker.after(PROBE) => Err(Outcome::Timeout),
+    // The decision module has its own time limit for probes; this one only ends probes that it has given up.
+    let result = tokio::select! {
+        result = answered => result,
+        () = broker.after(PROBE_TIMEOUT) => Err(Outcome::Timeout),
     };
-    broker.probed(host, came.err().unwrap_or(Outcome::Ok), None);
+    broker.probed(host, result.err().unwrap_or(Outcome::Ok), None);
 }
 
-/// After this nobody waits for a probe.
-const PROBE: u64 = 2_000_000;
+/// Time limit of a probe, in microseconds; longer than the decision module waits for one.
+const PROBE_TIMEOUT: u64 = 2_000_000;
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's line protocol: a thin front.
 
-use super::buffer::{trimmed, LINE};
+use super::buffer::{strip_line_end, MAX_LINE_BYTES};
 use super::idle::{IdleConnections, SlotEnd, FIRST_LINE_TIMEOUT};
 use super::links::{self, Link};
 use super::relay;
@@ -125,7 +125,7 @@
     loop {
         let line = tokio::select! {
             biased;
-            line = peer.link.line() => line,
+            line = peer.link.read_line() => line,
             over = slot.ended(until) => return match over {
                 SlotEnd::Evicted => First::Bad("BUSY".into()),
                 SlotEnd::TimedOut if peer.link.buffer.data().is_empty() => First::Nothing,
@@ -139,7 +139,7 @@
             Err(_) if peer.link.buffer.data().is_empty() => return First::Nothing,
             Err(_) => return First::Bad("ERR half a line".into()),
         };
-        let line = trimmed(&peer.link.buffer.data()[..n]).to_vec();
+        let line = strip_line_end(&peer.link.buffer.data()[..n]).to_vec();
         peer.link.buffer.consume(n);
         if line != b"PING" {
             // Whoever has not waited for an answer cannot be served: what it sent would go to the instance.
@@ -149,7 +149,7 @@
             };
         }
         let answer: &[u8] = if peer.broker.invites() { b"PONG\r\n" } else { b"NO\r\n" };
-        if peer.link.write(answer).await.is_err() {
+        if peer.link.write_all(answer).await.is_err() {
             return First::Nothing;
         }
         until =
@@ -205,7 +205,7 @@
 
     async fn execute(&self, execution: &Execution) -> Result<Link, Outcome> {
         let line = || self.open.line((execution.left() / 1000).max(1));
-        links::place(self.broker, execution, execution.address, line).await
+        links::start_execution(self.broker, execution, execution.address, line).await
     }
 }
 
@@ -220,7 +220,7 @@
     async fn answer(&mut self, line: &str) {
         let line = format!("{line}\r\n");
         tokio::select! {
-            _ = self.link.write(line.as_bytes()) => {}
+            _ = self.link.write_all(line.as_bytes()) => {}
             () = self.broker.after(LINGER) => {}
         }
     }
@@ -230,7 +230,7 @@
     type Link = Link;
 
     async fn gone(&mut self) -> Gone {
-        match self.link.buffer.filled(&self.link.stream, LINE).await {
+        match self.link.buffer.read_tcp(&self.link.stream, MAX_LINE_BYTES).await {
             Ok(n) if n > 0 => Gone::OutOfTurn,
             _ => Gone::Left,
         }
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -1,7 +1,7 @@
 //! A standing connection of the platform's protocol: whole lines both ways, unchanged, held back by a side
 //! that does not take them; what passes is watched, but never altered.
 
-use super::buffer::{trimmed, LINE};
+use super::buffer::{strip_line_end, MAX_LINE_BYTES};
 use super::idle::IdleConnections;
 use super::links::Link;
 use crate::api::Micros;
@@ -14,11 +14,11 @@
 use tokio::net::TcpStream;
 
 /// What one direction holds at most before its sender is made to wait.
-const MOST: usize = 4 * LINE;
+const MOST: usize = 4 * MAX_LINE_BYTES;
 /// How long an end waits for a side that does not take its last lines, or does not close.
 const LINGER: Micros = 1_000_000;
 /// So much is read of a client that has had its last line.
-const DRAINED: usize = 64 * LINE;
+const DRAINED: usize = 64 * MAX_LINE_BYTES;
 /// A message that is out for so long is told of, each time again.
 const OUT: Micros = 1_000_000;
 /// Client lines whose answer is waited for at once.
@@ -43,7 +43,7 @@
     /// stream goes too.
     fn read(&mut self, from: &mut Link, mut seen: impl FnMut(&[u8])) -> io::Result<()> {
         while self.reads(from) {
-            match from.buffer.fill(&from.stream, MOST) {
+            match from.buffer.try_read(&from.stream, MOST) {
                 Ok(0) => {
                     self.ended = true;
                     self.whole = from.buffer.data().len();
@@ -59,10 +59,10 @@
     fn scan(&mut self, from: &Link, seen: &mut impl FnMut(&[u8])) -> io::Result<()> {
         let data = from.buffer.data();
         while let Some(n) = data[self.whole..].iter().position(|&b| b == b'\n') {
-            seen(trimmed(&data[self.whole..=self.whole + n]));
+            seen(strip_line_end(&data[self.whole..=self.whole + n]));
             self.whole += n + 1;
         }
-        match data.len() - self.whole > LINE {
+        match data.len() - self.whole > MAX_LINE_BYTES {
             true => Err(io::Error::new(io::ErrorKind::InvalidData, "a line of over 4 KiB")),
             false => Ok(()),
         }
@@ -148,7 +148,7 @@
         while left > 0 {
             let n = link.buffer.data().len();
             link.buffer.consume(n);
-            match link.buffer.filled(&link.stream, LINE).await {
+            match link.buffer.read_tcp(&link.stream, MAX_LINE_BYTES).await {
                 Ok(n) if n > 0 => left = left.saturating_sub(n),
                 _ => return,
             }
@@ -264,7 +264,7 @@
     flush(broker, client, down, instance).await;
     if !down.writes() {
         tokio::select! {
-            _ = client.write(b"MOVE\r\n") => {}
+            _ = client.write_all(b"MOVE\r\n") => {}
             () = broker.after(LINGER) => {}
         }
     }
--- a/src/net/xmpp/stream.rs
+++ b/src/net/xmpp/stream.rs
@@ -208,7 +208,7 @@
             let until = self.since.map_or(u64::MAX, |since| since.saturating_add(self.bounds.stall));
             tokio::select! {
                 biased;
-                read = self.buffer.read(&mut self.half, self.bounds.stanza) => match read {
+                read = self.buffer.read_from(&mut self.half, self.bounds.stanza) => match read {
                     Ok(n) if n > 0 => {
                         self.since.get_or_insert_with(|| self.broker.now());
                     }
@@ -228,7 +228,7 @@
     /// Ends when the peer has left; what it sends meanwhile is kept, up to the bound.
     pub async fn gone(&mut self) {
         while self.buffer.data().len() < self.bounds.stanza {
-            match self.buffer.read(&mut self.half, self.bounds.stanza).await {
+            match self.buffer.read_from(&mut self.half, self.bounds.stanza).await {
                 Ok(n) if n > 0 => {}
                 _ => return,
             }
@@ -246,7 +246,7 @@
         loop {
             let n = self.buffer.data().len();
             self.buffer.consume(n);
-            if !matches!(self.buffer.read(&mut self.half, self.bounds.stanza).await, Ok(n) if n > 0) {
+            if !matches!(self.buffer.read_from(&mut self.half, self.bounds.stanza).await, Ok(n) if n > 0) {
                 return;
             }
         }
