--- a/src/config.rs
+++ b/src/config.rs
@@ -77,7 +77,8 @@
     }
 
     /// Returns the top-level keys that differ between two configurations and take effect only at a start. A running
-    /// balancer adopts discovery's address alone; the known list and the seed are meant for a start and are not reported.
+    /// balancer adopts discovery's address alone; the known list and the seed are meant for a start and are not
+    /// reported.
     pub fn changes_ignored_until_restart(before: &str, now: &str) -> Vec<String> {
         let parse = |text| serde_json::from_str(text).unwrap_or_default();
         let (before, now): (Map<String, Value>, Map<String, Value>) = (parse(before), parse(now));
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -188,7 +188,7 @@
     };
     let written = async {
         if link.write_all(answer.as_bytes()).await.is_ok() {
-            relay::close(&server.idle, &mut link).await;
+            relay::close_gracefully(&server.idle, &mut link).await;
         }
     };
     tokio::select! {
--- a/src/net/idle.rs
+++ b/src/net/idle.rs
@@ -9,7 +9,8 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Time allowed for a whole first line or stream header, in microseconds. A sender that trickles bytes does not extend it.
+/// Time allowed for a whole first line or stream header, in microseconds. A sender that trickles bytes does not extend
+/// it.
 pub const FIRST_LINE_TIMEOUT: Micros = 2_500_000;
 /// Longest wait for a client to close after its last line was written, in microseconds.
 const CLOSE_TIMEOUT: Micros = 1_000_000;
--- a/src/net/links.rs
+++ b/src/net/links.rs
@@ -61,8 +61,8 @@
     Ok(Link::new(stream))
 }
 
-/// Sends the first line of an execution and waits for the instance's answer. `UP` is left in the link's buffer; any other
-/// answer ends the execution.
+/// Sends the first line of an execution and waits for the instance's answer. `UP` is left in the link's buffer; any
+/// other answer ends the execution.
 pub async fn start_execution(
     broker: &Rc<Broker>,
     execution: &Execution,
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -17,8 +17,8 @@
 /// Number of connections that the kernel queues until this process accepts them.
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// An address that is reserved for this process before it accepts connections there. On a socket that it bound itself it
-/// does not listen yet, so the kernel refuses connections as it does while the process is down. An inherited socket
+/// An address that is reserved for this process before it accepts connections there. On a socket that it bound itself
+/// it does not listen yet, so the kernel refuses connections as it does while the process is down. An inherited socket
 /// listens already; connections are queued but not accepted.
 pub enum ReservedAddress {
     /// A socket bound by this process.
@@ -100,8 +100,8 @@
         self.socket.local_addr().map_err(|e| e.to_string())
     }
 
-    /// Accepts the next connection. While this process is ending and the socket is shared, only connections that no other
-    /// process accepts are taken.
+    /// Accepts the next connection. While this process is ending and the socket is shared, only connections that no
+    /// other process accepts are taken.
     pub async fn accept(&self, broker: &Rc<Broker>) -> io::Result<(TcpStream, SocketAddr)> {
         while self.shared && broker.leaving() {
             tokio::select! {
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's line protocol: a thin front.
+//! The platform's line protocol: parses first lines, places commands through the broker, and passes the answers on.
+//! It takes no placement decisions.
 
 use super::buffer::{strip_line_end, MAX_LINE_BYTES};
 use super::idle::{IdleConnections, SlotEnd, FIRST_LINE_TIMEOUT};
@@ -16,55 +17,57 @@
 use winnow::token::take_till;
 use winnow::{ModalResult, Parser};
 
-/// One that has been answered `PONG` may be silent for so long: the front's checks come every few seconds.
-const IDLE: u64 = 60_000_000;
-/// A client that does not take its answer is waited for this long.
-const LINGER: u64 = 1_000_000;
-/// The longest wait that a client can mean, in milliseconds: a day. Those that stood before a start have no
-/// deadline of their own, and name one that is very long.
-const LONGEST: f64 = 86_400_000.0;
+/// Time that a connection answered with `PONG` or `NO` may be silent, in microseconds; the platform's health checks
+/// come every few seconds.
+const HEALTH_CHECK_IDLE_TIMEOUT: u64 = 60_000_000;
+/// Time allowed for a client to take its last line, in microseconds.
+const ANSWER_WRITE_TIMEOUT: u64 = 1_000_000;
+/// Longest deadline that a client may state, in milliseconds: one day. Connections that were established before this
+/// process started have no deadline of their own and state a very long one.
+const MAX_DEADLINE_MS: f64 = 86_400_000.0;
 
-/// A first line.
+/// A parsed first line: `OPEN ID KEY NAME=VALUE,...`.
 #[derive(Debug, PartialEq)]
-pub struct Open<'a> {
+pub struct OpenLine<'a> {
     id: &'a str,
     key: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
-fn open<'a>(input: &mut &'a str) -> ModalResult<Open<'a>> {
+fn open_line<'a>(input: &mut &'a str) -> ModalResult<OpenLine<'a>> {
     let word = |input: &mut &'a str| take_till(1.., [' ', '\t']).parse_next(input);
     let id = preceded("OPEN ", word).parse_next(input)?;
     let key = preceded(' ', word).parse_next(input)?;
     let field = (terminated(take_till(1.., ['=', ',', ' ']), '='), take_till(0.., [',', ' ']));
     let fields: Option<Vec<_>> = opt(preceded(' ', separated(1.., field, ','))).parse_next(input)?;
     eof.parse_next(input)?;
-    Ok(Open { id, key, fields: fields.unwrap_or_default() })
+    Ok(OpenLine { id, key, fields: fields.unwrap_or_default() })
 }
 
-fn number_of(text: &str) -> Option<f64> {
+fn parse_finite(text: &str) -> Option<f64> {
     let parsed: Result<f64, _> = float::<_, _, winnow::error::ContextError>.parse(text);
     parsed.ok().filter(|x| x.is_finite())
 }
 
-/// Milliseconds that a client will wait: a plain number, and one that somebody can mean. A huge or negative
-/// one would be served as if it had been read.
-fn wait_of(text: &str) -> Option<f64> {
+/// Parses the time in milliseconds that a client will wait. Only plain decimal numbers up to [`MAX_DEADLINE_MS`] are
+/// accepted: a huge or negative one is an error of the client and must not be served as a deadline.
+fn parse_deadline_ms(text: &str) -> Option<f64> {
     let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    number_of(text).filter(|ms| plain && (0.0..=LONGEST).contains(ms))
+    parse_finite(text).filter(|ms| plain && (0.0..=MAX_DEADLINE_MS).contains(ms))
 }
 
-impl<'a> Open<'a> {
-    /// Reads a first line; what is wrong with it is said in words.
-    pub fn parse(line: &'a [u8]) -> Result<Open<'a>, String> {
+impl<'a> OpenLine<'a> {
+    /// Parses a first line. The error is the end of the text sent to the client.
+    pub fn parse(line: &'a [u8]) -> Result<OpenLine<'a>, String> {
         let text = std::str::from_utf8(line).map_err(|_| "is not UTF-8")?;
         if text.chars().any(char::is_control) {
             return Err("has control characters".into());
         }
-        let open = open.parse(text).map_err(|_| "is not OPEN ID KEY NAME=VALUE,...")?;
-        // Which of the two would count is anybody's guess, and the instance's may be another one.
-        let again = |(i, (name, _)): (usize, &(&str, &str))| open.fields[..i].iter().any(|(n, _)| n == name);
-        match open.fields.iter().enumerate().any(again) {
+        let open = open_line.parse(text).map_err(|_| "is not OPEN ID KEY NAME=VALUE,...")?;
+        // A repeated name is ambiguous: this balancer and the instance might each use another value.
+        let is_repeated =
+            |(i, (name, _)): (usize, &(&str, &str))| open.fields[..i].iter().any(|(n, _)| n == name);
+        match open.fields.iter().enumerate().any(is_repeated) {
             true => Err("names something twice".into()),
             false => Ok(open),
         }
@@ -74,15 +77,15 @@
         self.fields.iter().find(|(n, _)| *n == name).map(|(_, value)| *value)
     }
 
-    /// The demand that it stands for.
+    /// Translates the line to a demand for the decision module. The error is the end of the text sent to the client.
     pub fn demand(&self, broker: &Broker) -> Result<Demand, String> {
         let names = broker.names();
         let class = self.get("c").ok_or("names no class")?;
         let class =
             names.class_index(class).ok_or_else(|| format!("names the unknown class {class:.40?}"))?;
         let left = self.get("d").ok_or("has no deadline")?;
-        let left = wait_of(left).ok_or_else(|| format!("has no deadline in {left:.40?}"))?;
-        let hint = self.get("h").map(|h| number_of(h).ok_or_else(|| format!("has no load in {h:.40?}")));
+        let left = parse_deadline_ms(left).ok_or_else(|| format!("has no deadline in {left:.40?}"))?;
+        let hint = self.get("h").map(|h| parse_finite(h).ok_or_else(|| format!("has no load in {h:.40?}")));
         Ok(Demand {
             key: Some(self.key.into()),
             group: self.get("g").filter(|_| names.has_groups()).map(Into::into),
@@ -93,8 +96,8 @@
         })
     }
 
-    /// The line for an instance: unchanged, but for the time that is left.
-    pub fn line(&self, left_ms: u64) -> String {
+    /// Returns the line for an instance: unchanged but for `d`, the time left.
+    pub fn instance_line(&self, left_ms: u64) -> String {
         let mut line = format!("OPEN {} {}", self.id, self.key);
         for (i, (name, value)) in self.fields.iter().enumerate() {
             line.push(if i == 0 { ' ' } else { ',' });
@@ -108,125 +111,131 @@
     }
 }
 
-/// How a connection began.
-enum First {
-    /// With a whole line; nothing may follow before it is answered.
+/// Result of waiting for the first line.
+enum FirstLine {
+    /// A whole line, with nothing after it.
     Line(Vec<u8>),
-    /// In a way that is owed this answer.
-    Bad(String),
-    /// In no way that is owed any.
-    Nothing,
+    /// An error, to be answered with this line.
+    Invalid(String),
+    /// The connection ended without a request; no answer is due.
+    NoRequest,
 }
 
-/// Reads up to the first line that is no check of the front.
-async fn first_line(peer: &mut Peer, idle: &Rc<IdleConnections>) -> First {
+/// Answers health checks until the first other line arrives, and returns that line.
+async fn read_first_line(client: &mut LineClient, idle: &Rc<IdleConnections>) -> FirstLine {
     let slot = idle.acquire_slot();
-    let mut until = peer.broker.now() + FIRST_LINE_TIMEOUT;
+    let mut deadline = client.broker.now() + FIRST_LINE_TIMEOUT;
     loop {
         let line = tokio::select! {
             biased;
-            line = peer.link.read_line() => line,
-            over = slot.ended(until) => return match over {
-                SlotEnd::Evicted => First::Bad("BUSY".into()),
-                SlotEnd::TimedOut if peer.link.buffer.data().is_empty() => First::Nothing,
-                SlotEnd::TimedOut => First::Bad("ERR no whole line in time".into()),
+            line = client.link.read_line() => line,
+            end = slot.ended(deadline) => return match end {
+                SlotEnd::Evicted => FirstLine::Invalid("BUSY".into()),
+                SlotEnd::TimedOut if client.link.buffer.data().is_empty() => FirstLine::NoRequest,
+                SlotEnd::TimedOut => FirstLine::Invalid("ERR no whole line in time".into()),
             },
         };
         let n = match line {
             Ok(n) => n,
-            Err(e) if e.kind() == std::io::ErrorKind::InvalidData => return First::Bad(format!("ERR {e}")),
-            // Nothing was asked, so nothing is owed: the front's checks end like this.
-            Err(_) if peer.link.buffer.data().is_empty() => return First::Nothing,
-            Err(_) => return First::Bad("ERR half a line".into()),
+            Err(e) if e.kind() == std::io::ErrorKind::InvalidData => {
+                return FirstLine::Invalid(format!("ERR {e}"))
+            }
+            // Closed without a request, as the platform's health checks do.
+            Err(_) if client.link.buffer.data().is_empty() => return FirstLine::NoRequest,
+            Err(_) => return FirstLine::Invalid("ERR half a line".into()),
         };
-        let line = strip_line_end(&peer.link.buffer.data()[..n]).to_vec();
-        peer.link.buffer.consume(n);
+        let line = strip_line_end(&client.link.buffer.data()[..n]).to_vec();
+        client.link.buffer.consume(n);
         if line != b"PING" {
-            // Whoever has not waited for an answer cannot be served: what it sent would go to the instance.
-            return match peer.link.buffer.data() {
-                [] => First::Line(line),
-                _ => First::Bad("ERR out of turn".into()),
+            // A client that sends more before its answer cannot be served: the bytes would go to the instance.
+            return match client.link.buffer.data() {
+                [] => FirstLine::Line(line),
+                _ => FirstLine::Invalid("ERR out of turn".into()),
             };
         }
-        let answer: &[u8] = if peer.broker.invites() { b"PONG\r\n" } else { b"NO\r\n" };
-        if peer.link.write_all(answer).await.is_err() {
-            return First::Nothing;
+        let answer: &[u8] = if client.broker.invites() { b"PONG\r\n" } else { b"NO\r\n" };
+        if client.link.write_all(answer).await.is_err() {
+            return FirstLine::NoRequest;
         }
-        until =
-            peer.broker.now() + if peer.link.buffer.data().is_empty() { IDLE } else { FIRST_LINE_TIMEOUT };
+        deadline = client.broker.now()
+            + if client.link.buffer.data().is_empty() {
+                HEALTH_CHECK_IDLE_TIMEOUT
+            } else {
+                FIRST_LINE_TIMEOUT
+            };
     }
 }
 
-/// Serves one connection from its first line to its end.
+/// Serves one client connection until it is closed.
 pub async fn serve(idle: Rc<IdleConnections>, stream: TcpStream, from: SocketAddr) {
-    let mut peer = Peer { link: Link::new(stream), broker: idle.broker().clone() };
-    match first_line(&mut peer, &idle).await {
-        First::Nothing => return,
-        First::Line(line) => {
-            if let Err(answer) = ask(&mut peer, &line).await {
+    let mut client = LineClient { link: Link::new(stream), broker: idle.broker().clone() };
+    match read_first_line(&mut client, &idle).await {
+        FirstLine::NoRequest => return,
+        FirstLine::Line(line) => {
+            if let Err(answer) = handle_open(&mut client, &line).await {
                 tracing::warn!("client {from}: {answer}");
-                peer.answer(&answer).await;
+                client.answer(&answer).await;
             }
         }
-        First::Bad(answer) => {
+        FirstLine::Invalid(answer) => {
             tracing::warn!("client {from}: {answer}");
-            peer.answer(&answer).await;
+            client.answer(&answer).await;
         }
     }
-    relay::close(&idle, &mut peer.link).await;
+    relay::close_gracefully(&idle, &mut client.link).await;
 }
 
-/// Carries the command that a first line asks for; what is wrong with it is the answer that it is owed.
-async fn ask(peer: &mut Peer, line: &[u8]) -> Result<(), String> {
-    let broker = peer.broker.clone();
-    let read = Open::parse(line).and_then(|open| Ok((open.demand(&broker)?, open)));
-    let (demand, open) = read.map_err(|why| format!("ERR first line {why}"))?;
-    // The module books by id: a second one under the same would answer for the first.
+/// Runs the command that a first line requests, to its end. The error is the answer for a line that cannot be served.
+async fn handle_open(client: &mut LineClient, line: &[u8]) -> Result<(), String> {
+    let broker = client.broker.clone();
+    let parsed = OpenLine::parse(line).and_then(|open| Ok((open.demand(&broker)?, open)));
+    let (demand, open) = parsed.map_err(|why| format!("ERR first line {why}"))?;
+    // The decision module identifies calls by id: a second call under the same id would be taken for the first.
     if broker.knows(&demand.call.0) {
         broker.tally(demand.class).ends(End::Failed);
         return Err("ERR id in use".into());
     }
-    let dialer = Lines { open: &open, broker: &broker };
+    let dialer = LineDialer { open: &open, broker: &broker };
     match open.get("at") {
-        Some(at) => carry_on(&broker, demand, open.get("t"), number(at), peer, &dialer).await,
-        None => carry(&broker, demand, open.get("t"), peer, &dialer).await,
+        Some(at) => carry_on(&broker, demand, open.get("t"), number(at), client, &dialer).await,
+        None => carry(&broker, demand, open.get("t"), client, &dialer).await,
     }
     Ok(())
 }
 
-/// The side that faces instances.
-pub struct Lines<'a> {
-    open: &'a Open<'a>,
+/// Executes commands at instances over the line protocol.
+pub struct LineDialer<'a> {
+    open: &'a OpenLine<'a>,
     broker: &'a Rc<Broker>,
 }
 
-impl Dialer for Lines<'_> {
+impl Dialer for LineDialer<'_> {
     type Link = Link;
 
     async fn execute(&self, execution: &Execution) -> Result<Link, Outcome> {
-        let line = || self.open.line((execution.left() / 1000).max(1));
+        let line = || self.open.instance_line((execution.left() / 1000).max(1));
         links::start_execution(self.broker, execution, execution.address, line).await
     }
 }
 
-/// The side that faces the service client.
-struct Peer {
+/// The connection to the service client.
+struct LineClient {
     link: Link,
     broker: Rc<Broker>,
 }
 
-impl Peer {
-    /// Writes a last line; `serve` then closes in such a way that it arrives.
+impl LineClient {
+    /// Writes the last line; `serve` then closes the connection so that it arrives.
     async fn answer(&mut self, line: &str) {
         let line = format!("{line}\r\n");
         tokio::select! {
             _ = self.link.write_all(line.as_bytes()) => {}
-            () = self.broker.after(LINGER) => {}
+            () = self.broker.after(ANSWER_WRITE_TIMEOUT) => {}
         }
     }
 }
 
-impl Client for Peer {
+impl Client for LineClient {
     type Link = Link;
 
     async fn gone(&mut self) -> Gone {
@@ -237,18 +246,18 @@
     }
 
     async fn stand(&mut self, link: Link, command: &mut Command) -> Ended {
-        relay::lines(&mut self.link, link, command).await
+        relay::relay_lines(&mut self.link, link, command).await
     }
 
-    async fn nack(&mut self, after: Option<Micros>) {
-        match after {
+    async fn nack(&mut self, retry_after: Option<Micros>) {
+        match retry_after {
             Some(us) => self.answer(&format!("BUSY {}", us.div_ceil(1000))).await,
             None => self.answer("BUSY").await,
         }
     }
 
-    async fn fail(&mut self, why: Failure) {
-        match why {
+    async fn fail(&mut self, failure: Failure) {
+        match failure {
             Failure::GivenUp => self.answer("ERR not served").await,
             Failure::Deadline => self.answer("ERR not served in time").await,
             Failure::OutOfTurn => self.answer("ERR out of turn").await,
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -1,5 +1,5 @@
-//! A standing connection of the platform's protocol: whole lines both ways, unchanged, held back by a side
-//! that does not take them; what passes is watched, but never altered.
+//! Relays an established connection of the platform's protocol: whole lines in both directions, unchanged, with
+//! backpressure when a receiver is slow. Lines are inspected for load, delay and the reason of the end, never altered.
 
 use super::buffer::{strip_line_end, MAX_LINE_BYTES};
 use super::idle::IdleConnections;
@@ -13,42 +13,43 @@
 use tokio::io::{Interest, Ready};
 use tokio::net::TcpStream;
 
-/// What one direction holds at most before its sender is made to wait.
-const MOST: usize = 4 * MAX_LINE_BYTES;
-/// How long an end waits for a side that does not take its last lines, or does not close.
-const LINGER: Micros = 1_000_000;
-/// So much is read of a client that has had its last line.
-const DRAINED: usize = 64 * MAX_LINE_BYTES;
-/// A message that is out for so long is told of, each time again.
-const OUT: Micros = 1_000_000;
-/// Client lines whose answer is waited for at once.
-const ASKED: usize = 64;
+/// Most bytes buffered in one direction before its sender is no longer read.
+const MAX_BUFFERED_BYTES: usize = 4 * MAX_LINE_BYTES;
+/// Longest wait for a client to take its last lines, in microseconds.
+const FLUSH_TIMEOUT: Micros = 1_000_000;
+/// Most bytes read and dropped from a client after its last line was written.
+const MAX_DRAINED_BYTES: usize = 64 * MAX_LINE_BYTES;
+/// Interval at which an unanswered message is reported to the broker, in microseconds.
+const UNANSWERED_REPORT_INTERVAL: Micros = 1_000_000;
+/// Most client lines whose answer is timed at once; further ones are relayed without timing.
+const MAX_TIMED_LINES: usize = 64;
 
-/// One direction: from a link's buffer to the other's stream.
+/// One direction of a relay: from the buffer of one link to the stream of the other.
 #[derive(Default)]
-struct Way {
-    /// How much of the buffer are whole lines, which may go.
-    whole: usize,
-    /// The sender has ended, and the end was passed on.
+struct Direction {
+    /// Number of buffered bytes that form whole lines and may be sent.
+    sendable: usize,
+    /// The sender has ended its stream.
     ended: bool,
-    passed: bool,
+    /// The end was passed on to the receiver.
+    end_sent: bool,
 }
 
-impl Way {
-    fn reads(&self, from: &Link) -> bool {
-        !self.ended && from.buffer.data().len() < MOST
+impl Direction {
+    fn wants_read(&self, from: &Link) -> bool {
+        !self.ended && from.buffer.data().len() < MAX_BUFFERED_BYTES
     }
 
-    /// Reads what there is and shows each line that has become whole; what follows the last at the end of the
-    /// stream goes too.
-    fn read(&mut self, from: &mut Link, mut seen: impl FnMut(&[u8])) -> io::Result<()> {
-        while self.reads(from) {
-            match from.buffer.try_read(&from.stream, MOST) {
+    /// Reads what is available and calls `inspect` for each line that is now whole. At the end of the stream an
+    /// incomplete last line becomes sendable too.
+    fn read(&mut self, from: &mut Link, mut inspect: impl FnMut(&[u8])) -> io::Result<()> {
+        while self.wants_read(from) {
+            match from.buffer.try_read(&from.stream, MAX_BUFFERED_BYTES) {
                 Ok(0) => {
                     self.ended = true;
-                    self.whole = from.buffer.data().len();
+                    self.sendable = from.buffer.data().len();
                 }
-                Ok(_) => self.scan(from, &mut seen)?,
+                Ok(_) => self.scan(from, &mut inspect)?,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) => return Err(e),
             }
@@ -56,52 +57,53 @@
         Ok(())
     }
 
-    fn scan(&mut self, from: &Link, seen: &mut impl FnMut(&[u8])) -> io::Result<()> {
+    fn scan(&mut self, from: &Link, inspect: &mut impl FnMut(&[u8])) -> io::Result<()> {
         let data = from.buffer.data();
-        while let Some(n) = data[self.whole..].iter().position(|&b| b == b'\n') {
-            seen(strip_line_end(&data[self.whole..=self.whole + n]));
-            self.whole += n + 1;
+        while let Some(n) = data[self.sendable..].iter().position(|&b| b == b'\n') {
+            inspect(strip_line_end(&data[self.sendable..=self.sendable + n]));
+            self.sendable += n + 1;
         }
-        match data.len() - self.whole > MAX_LINE_BYTES {
+        match data.len() - self.sendable > MAX_LINE_BYTES {
             true => Err(io::Error::new(io::ErrorKind::InvalidData, "a line of over 4 KiB")),
             false => Ok(()),
         }
     }
 
-    fn writes(&self) -> bool {
-        self.whole > 0
+    fn wants_write(&self) -> bool {
+        self.sendable > 0
     }
 
-    /// Writes what the other side takes, then the end, if there is one.
+    /// Writes what the receiver takes, then the end of the stream if the sender has ended.
     fn write(&mut self, from: &mut Link, to: &TcpStream) -> io::Result<()> {
-        while self.whole > 0 {
-            match to.try_write(&from.buffer.data()[..self.whole]) {
+        while self.sendable > 0 {
+            match to.try_write(&from.buffer.data()[..self.sendable]) {
                 Ok(n) => {
                     from.buffer.consume(n);
-                    self.whole -= n;
+                    self.sendable -= n;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(e) => return Err(e),
             }
         }
-        if self.ended && !std::mem::replace(&mut self.passed, true) {
-            // The other side may be gone already: then there is nobody to tell.
+        if self.ended && !std::mem::replace(&mut self.end_sent, true) {
+            // Fails where the receiver has closed already, which needs no handling.
             let _ = socket2::SockRef::from(to).shutdown(std::net::Shutdown::Write);
         }
         Ok(())
     }
 }
 
-/// What the instance's lines told.
+/// What was learned from the lines of a connection.
 #[derive(Default)]
-struct Watched {
-    /// When the lines went up that nothing has come back for.
-    asked: VecDeque<Micros>,
-    last: Option<Ended>,
+struct LineMonitor {
+    /// Times at which the client's unanswered lines were read, oldest first.
+    unanswered: VecDeque<Micros>,
+    /// Reason of the end that the instance's last line announced.
+    announced_end: Option<Ended>,
 }
 
-impl Watched {
-    fn line(&mut self, line: &[u8], now: Micros, command: &mut Command) {
+impl LineMonitor {
+    fn instance_line(&mut self, line: &[u8], now: Micros, command: &mut Command) {
         let mut words = line.split(|&b| b == b' ');
         match words.next().unwrap_or_default() {
             b"UP" => {}
@@ -112,10 +114,10 @@
                     command.told(load);
                 }
             }
-            b"BYE" => self.last = Some(Ended::Served),
-            b"MOVE" => self.last = Some(Ended::Left),
+            b"BYE" => self.announced_end = Some(Ended::Served),
+            b"MOVE" => self.announced_end = Some(Ended::Left),
             _ => {
-                if let Some(since) = self.asked.pop_front() {
+                if let Some(since) = self.unanswered.pop_front() {
                     command.heard(now.saturating_sub(since));
                 }
             }
@@ -123,7 +125,7 @@
     }
 }
 
-async fn ready(stream: &TcpStream, reads: bool, writes: bool) -> io::Result<Ready> {
+async fn wait_ready(stream: &TcpStream, reads: bool, writes: bool) -> io::Result<Ready> {
     let interest = match (reads, writes) {
         (true, true) => Interest::READABLE | Interest::WRITABLE,
         (true, false) => Interest::READABLE,
@@ -133,23 +135,23 @@
     stream.ready(interest).await
 }
 
-/// Ends a connection the hard way, as the other side of it has ended.
-pub fn reset(link: &Link) {
+/// Makes the connection end with a reset when it is closed, as the other side of the relay did.
+pub fn reset_on_close(link: &Link) {
     let _ = socket2::SockRef::from(&link.stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Ends a connection the soft way: what was written arrives, then the end. A client that keeps writing is
-/// read for a while, since bytes unread at the close would reset the connection and might lose the last line.
-/// One that writes without end is left unread then: 60 MB must not cost what the others need.
-pub async fn close(idle: &Rc<IdleConnections>, link: &mut Link) {
+/// Closes a connection gracefully: everything written arrives, followed by the end of the stream. Bytes that the client
+/// still sends are read and dropped, since unread bytes at the close would reset the connection and might lose the last
+/// line. After [`MAX_DRAINED_BYTES`] the client is read no more: one that sends 60 MB must not take the time of others.
+pub async fn close_gracefully(idle: &Rc<IdleConnections>, link: &mut Link) {
     let _ = socket2::SockRef::from(&link.stream).shutdown(std::net::Shutdown::Write);
     let drained = async {
-        let mut left = DRAINED;
-        while left > 0 {
+        let mut remaining = MAX_DRAINED_BYTES;
+        while remaining > 0 {
             let n = link.buffer.data().len();
             link.buffer.consume(n);
             match link.buffer.read_tcp(&link.stream, MAX_LINE_BYTES).await {
-                Ok(n) if n > 0 => left = left.saturating_sub(n),
+                Ok(n) if n > 0 => remaining = remaining.saturating_sub(n),
                 _ => return,
             }
         }
@@ -158,47 +160,50 @@
     idle.await_close(drained).await
 }
 
-/// Passes lines on until the connection ends; the caller closes the client's side.
-pub async fn lines(client: &mut Link, mut instance: Link, command: &mut Command) -> Ended {
+/// Relays lines until the connection ends; the caller closes the client's connection.
+pub async fn relay_lines(client: &mut Link, mut instance: Link, command: &mut Command) -> Ended {
     let broker = command.broker().clone();
-    let (mut up, mut down, mut watched) = (Way::default(), Way::default(), Watched::default());
-    // The instance's `UP` stands in its buffer, and what the client wrote early in its own.
+    let (mut up, mut down, mut monitor) =
+        (Direction::default(), Direction::default(), LineMonitor::default());
+    // The buffers may hold lines already: the instance's `UP`, and what the client sent early.
     let now = broker.now();
     if let Err(e) = down.scan(&instance, &mut |_| ()).and_then(|()| {
-        let asked = &mut watched.asked;
-        up.scan(client, &mut |_| asked.push_back(now))
+        let unanswered = &mut monitor.unanswered;
+        up.scan(client, &mut |_| unanswered.push_back(now))
     }) {
-        tracing::warn!("a connection was ended: {e}");
+        tracing::warn!("connection ended: {e}");
         return Ended::Left;
     }
-    // When something last came, and when a message that is out was last looked at.
-    let (mut moved, mut looked) = (now, now);
+    // Times of the last traffic and of the last check for an unanswered line.
+    let (mut last_traffic, mut last_check) = (now, now);
     loop {
         let sides = async {
             tokio::select! {
-                r = ready(&client.stream, up.reads(client), down.writes()) => r,
-                r = ready(&instance.stream, down.reads(&instance), up.writes()) => r,
+                r = wait_ready(&client.stream, up.wants_read(client), down.wants_write()) => r,
+                r = wait_ready(&instance.stream, down.wants_read(&instance), up.wants_write()) => r,
             }
         };
-        let oldest = watched.asked.front().copied();
-        // While something is asked, each second; else only a client that has ended its sending is not waited
-        // for without end: it may be gone, but as long as its instance sends it is served.
+        let oldest = monitor.unanswered.front().copied();
+        // A check each second while a line is unanswered. Otherwise there is a time limit only for a client that has
+        // ended its side: it may be gone, but is served for as long as its instance sends.
         let wait = match (oldest, up.ended) {
-            (Some(since), _) => broker.until((looked.max(since) + OUT).min(since + SILENT)),
-            (None, true) => broker.until(moved + SILENT),
+            (Some(since), _) => {
+                broker.until((last_check.max(since) + UNANSWERED_REPORT_INTERVAL).min(since + SILENT))
+            }
+            (None, true) => broker.until(last_traffic + SILENT),
             (None, false) => broker.until(Micros::MAX),
         };
         tokio::select! {
             biased;
-            () = command.moved() => return farewell(&broker, client, &mut down, &mut instance).await,
-            // An error shows again when the socket is used.
+            () = command.moved() => return send_move(&broker, client, &mut down, &mut instance).await,
+            // An error recurs when the socket is used.
             _ = sides => {}
             () = wait => {
-                looked = broker.now();
+                last_check = broker.now();
                 match oldest {
-                    Some(since) if command.silent(looked - since) => {
-                        tracing::info!("a connection brought nothing back for {} ms: moved", (looked - since) / 1000);
-                        return farewell(&broker, client, &mut down, &mut instance).await;
+                    Some(since) if command.silent(last_check - since) => {
+                        tracing::info!("a connection brought nothing back for {} ms: moved", (last_check - since) / 1000);
+                        return send_move(&broker, client, &mut down, &mut instance).await;
                     }
                     Some(_) => {}
                     None => return Ended::Left,
@@ -207,46 +212,46 @@
             }
         }
         let now = broker.now();
-        moved = now;
+        last_traffic = now;
         let from_client = up.read(client, |_| {
-            if watched.asked.len() < ASKED {
-                watched.asked.push_back(now);
+            if monitor.unanswered.len() < MAX_TIMED_LINES {
+                monitor.unanswered.push_back(now);
             }
         });
         if let Err(e) = from_client.and_then(|()| down.write(&mut instance, &client.stream)) {
             if e.kind() == io::ErrorKind::InvalidData {
-                tracing::warn!("client: sent {e}; its connection is ended");
+                tracing::warn!("client: sent {e}; connection ended");
             }
-            reset(&instance);
+            reset_on_close(&instance);
             return Ended::Left;
         }
-        let from_instance = down.read(&mut instance, |line| watched.line(line, now, command));
+        let from_instance = down.read(&mut instance, |line| monitor.instance_line(line, now, command));
         let to_instance = up.write(client, &instance.stream);
         let sent = down.write(&mut instance, &client.stream);
         if let Err(e) = from_instance.and(to_instance) {
             if e.kind() == io::ErrorKind::InvalidData {
-                tracing::warn!("instance: sent {e}; its connection is ended");
+                tracing::warn!("instance: sent {e}; connection ended");
             }
-            // Its last whole lines go to the client still, then the end, in the same way.
+            // The client still gets the last whole lines, and then a reset.
             flush(&broker, client, &mut down, &mut instance).await;
-            reset(client);
-            return if up.ended { Ended::Left } else { watched.last.unwrap_or(Ended::Broken) };
+            reset_on_close(client);
+            return if up.ended { Ended::Left } else { monitor.announced_end.unwrap_or(Ended::Broken) };
         }
         if sent.is_err() {
-            reset(&instance);
+            reset_on_close(&instance);
             return Ended::Left;
         }
-        if down.passed {
-            return if up.ended { Ended::Left } else { watched.last.unwrap_or(Ended::Broken) };
+        if down.end_sent {
+            return if up.ended { Ended::Left } else { monitor.announced_end.unwrap_or(Ended::Broken) };
         }
     }
 }
 
-/// Writes the whole lines that are left, for as long as a client may take.
-async fn flush(broker: &Rc<Broker>, client: &Link, down: &mut Way, instance: &mut Link) {
+/// Writes the remaining whole lines to the client, within a time limit.
+async fn flush(broker: &Rc<Broker>, client: &Link, down: &mut Direction, instance: &mut Link) {
     let written = async {
-        while down.writes() {
-            if ready(&client.stream, false, true).await.is_err()
+        while down.wants_write() {
+            if wait_ready(&client.stream, false, true).await.is_err()
                 || down.write(instance, &client.stream).is_err()
             {
                 return;
@@ -255,17 +260,17 @@
     };
     tokio::select! {
         () = written => {}
-        () = broker.after(LINGER) => {}
+        () = broker.after(FLUSH_TIMEOUT) => {}
     }
 }
 
-/// Asks the client to come again, between two whole lines.
-async fn farewell(broker: &Rc<Broker>, client: &Link, down: &mut Way, instance: &mut Link) -> Ended {
+/// Writes the remaining whole lines and `MOVE`, which asks the client to reconnect.
+async fn send_move(broker: &Rc<Broker>, client: &Link, down: &mut Direction, instance: &mut Link) -> Ended {
     flush(broker, client, down, instance).await;
-    if !down.writes() {
+    if !down.wants_write() {
         tokio::select! {
             _ = client.write_all(b"MOVE\r\n") => {}
-            () = broker.after(LINGER) => {}
+            () = broker.after(FLUSH_TIMEOUT) => {}
         }
     }
     Ended::Left
