--- a/src/net/xmpp/relay.rs
+++ b/src/net/xmpp/relay.rs
@@ -1,52 +1,56 @@
-//! A standing XMPP connection: whole stanzas both ways, each way at its own pace.
+//! Relays an established XMPP connection: whole stanzas in both directions, each with its own backpressure.
 
-use super::stream::{error, Cut, Reader, Side, Unit, Writer, CLOSE, STREAMS};
-use super::{Front, LINGER};
+use super::stream::{stream_error_xml, Reader, StreamEnd, Unit, Writer, XmppConnection, CLOSE, STREAMS};
+use super::{XmppFront, CLOSE_TIMEOUT};
 use crate::broker::{Broker, Command, Ended};
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Why a direction has ended.
-enum Stop {
-    /// Its sender closed the stream, in order; the closing tag was passed on.
+/// Why the relay of one direction has ended.
+enum DirectionEnd {
+    /// The sender closed its stream; the closing tag was passed on.
     Closed,
-    /// Its sender ended or broke the rules.
-    Sender(Cut),
-    /// Its receiver takes nothing any more.
+    /// The sender disconnected or violated the protocol.
+    Sender(StreamEnd),
+    /// The receiver cannot be written to.
     Receiver,
 }
 
-/// Passes units on until one side ends; each is shown before it goes.
-async fn pass<R, W>(from: &mut Reader<R>, to: &mut Writer<W>, mut seen: impl FnMut(&Unit)) -> Stop
+/// Relays units in one direction until one side ends, and calls `inspect` for each before it is sent.
+async fn relay_units<R, W>(
+    from: &mut Reader<R>,
+    to: &mut Writer<W>,
+    mut inspect: impl FnMut(&Unit),
+) -> DirectionEnd
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
     loop {
-        // First what a pass that was dropped had left.
+        // Units that a cancelled relay had queued go first.
         if to.flush().await.is_err() {
-            return Stop::Receiver;
+            return DirectionEnd::Receiver;
         }
-        let (unit, bytes) = match from.unit().await {
+        let (unit, bytes) = match from.read_unit().await {
             Ok(unit) => unit,
-            Err(cut) => return Stop::Sender(cut),
+            Err(end) => return DirectionEnd::Sender(end),
         };
-        seen(&unit);
+        inspect(&unit);
         to.push(&bytes);
         if matches!(unit, Unit::Close) {
-            return if to.flush().await.is_ok() { Stop::Closed } else { Stop::Receiver };
+            return if to.flush().await.is_ok() { DirectionEnd::Closed } else { DirectionEnd::Receiver };
         }
     }
 }
 
-/// Lets the stanza that is under way, and what is queued, come to its end; whether the stream is whole then.
-async fn settle<R, W>(from: &mut Reader<R>, to: &mut Writer<W>) -> bool
+/// Relays the rest of a partly received stanza and writes what is queued. Returns whether everything was written.
+async fn finish_partial_unit<R, W>(from: &mut Reader<R>, to: &mut Writer<W>) -> bool
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
-    while from.under_way() {
-        match from.unit().await {
+    while from.has_partial_unit() {
+        match from.read_unit().await {
             Ok((Unit::Close, _)) | Err(_) => break,
             Ok((_, bytes)) => to.push(&bytes),
         }
@@ -54,111 +58,135 @@
     to.flush().await.is_ok()
 }
 
-/// Passes stanzas on until the connection ends, and ends both sides in defined ways.
-pub async fn stanzas(front: &Front, client: &mut Side, instance: &mut Side, command: &mut Command) -> Ended {
+/// Relays stanzas until the connection ends, then closes both streams; returns how it ended.
+pub async fn relay_stanzas(
+    front: &XmppFront,
+    client: &mut XmppConnection,
+    instance: &mut XmppConnection,
+    command: &mut Command,
+) -> Ended {
     let broker = command.broker().clone();
-    let finish = front.settings.finish.0;
-    // Whether the client has been sent the header of its new stream: an error outside a stream says nothing.
-    let (mut last, mut greeted) = (None, false);
-    let (from_client, stop) = {
-        let up = pass(&mut client.reader, &mut instance.writer, |_| ());
-        let down = pass(&mut instance.reader, &mut client.writer, |unit| match unit {
-            Unit::Header(_) => greeted = true,
+    let stanza_timeout = front.settings.finish.0;
+    // A stream error is meaningful only inside a stream, so the client must have been sent the header of its new
+    // stream.
+    let (mut announced_end, mut header_sent) = (None, false);
+    let (from_client, end) = {
+        let up = relay_units(&mut client.reader, &mut instance.writer, |_| ());
+        let down = relay_units(&mut instance.reader, &mut client.writer, |unit| match unit {
+            Unit::Header(_) => header_sent = true,
             Unit::Stanza(element) if element.is(STREAMS, "error") => {
-                let away = element.has("see-other-host") || element.has("system-shutdown");
-                last = Some(if away { Ended::Left } else { Ended::Broken });
+                let is_redirect =
+                    element.has_descendant("see-other-host") || element.has_descendant("system-shutdown");
+                announced_end = Some(if is_redirect { Ended::Left } else { Ended::Broken });
             }
             _ => {}
         });
         tokio::select! {
             biased;
             () = command.moved() => (false, None),
-            stop = up => (true, Some(stop)),
-            stop = down => (false, Some(stop)),
+            end = up => (true, Some(end)),
+            end = down => (false, Some(end)),
         }
     };
-    let opening = if greeted { String::new() } else { front.opening("", "") };
-    let Some(stop) = stop else {
-        // A drain: what is half sent comes to its end, within a bound, and both sides are told.
-        let both = async {
+    let client_header = if header_sent { String::new() } else { front.stream_header("", "") };
+    let Some(end) = end else {
+        // At a drain partly sent stanzas are completed, within a time limit, and both sides are sent a stream error.
+        let completed = async {
             tokio::join!(
-                settle(&mut client.reader, &mut instance.writer),
-                settle(&mut instance.reader, &mut client.writer)
+                finish_partial_unit(&mut client.reader, &mut instance.writer),
+                finish_partial_unit(&mut instance.reader, &mut client.writer)
             );
         };
         tokio::select! {
-            () = both => {}
-            // Only whole stanzas are ever written, but one may be stuck half way: nothing may follow it.
-            () = broker.after(finish) => {}
+            () = completed => {}
+            // Only whole stanzas are queued, but the write of one may be stuck: nothing may follow it.
+            () = broker.after(stanza_timeout) => {}
         }
-        let farewell = match &front.settings.other_host {
+        let client_error = match &front.settings.other_host {
             Some(host) => {
                 let ns = "urn:ietf:params:xml:ns:xmpp-streams";
-                let host = super::escaped(host);
+                let host = super::escape_xml(host);
                 format!("<stream:error><see-other-host xmlns='{ns}'>{host}</see-other-host></stream:error>{CLOSE}")
             }
-            None => error("system-shutdown", "please come again"),
+            None => stream_error_xml("system-shutdown", "please come again"),
         };
-        end(&broker, client, &(opening + &farewell), instance, &error("system-shutdown", "")).await;
+        finish_both(
+            &broker,
+            client,
+            &(client_header + &client_error),
+            instance,
+            &stream_error_xml("system-shutdown", ""),
+        )
+        .await;
         return Ended::Left;
     };
-    match (from_client, stop) {
-        // One side closed the stream: the other has a while to close it too.
-        (true, Stop::Closed) => {
-            let answered = pass(&mut instance.reader, &mut client.writer, |_| ());
+    match (from_client, end) {
+        // One side closed the stream; the other has some time to close it too.
+        (true, DirectionEnd::Closed) => {
+            let answered = relay_units(&mut instance.reader, &mut client.writer, |_| ());
             tokio::select! {
                 _ = answered => {}
-                () = broker.after(finish) => {}
+                () = broker.after(stanza_timeout) => {}
             }
-            end(&broker, client, "", instance, "").await;
+            finish_both(&broker, client, "", instance, "").await;
             Ended::Left
         }
-        (false, Stop::Closed) => {
-            let answered = pass(&mut client.reader, &mut instance.writer, |_| ());
+        (false, DirectionEnd::Closed) => {
+            let answered = relay_units(&mut client.reader, &mut instance.writer, |_| ());
             tokio::select! {
                 _ = answered => {}
-                () = broker.after(LINGER) => {}
+                () = broker.after(CLOSE_TIMEOUT) => {}
             }
-            end(&broker, client, "", instance, "").await;
-            last.unwrap_or(Ended::Served)
+            finish_both(&broker, client, "", instance, "").await;
+            announced_end.unwrap_or(Ended::Served)
         }
-        (true, Stop::Sender(Cut::Bad(condition))) => {
-            tracing::warn!("xmpp client: {condition}; its connection is ended");
-            end(&broker, client, &(opening + &error(condition, "")), instance, CLOSE).await;
+        (true, DirectionEnd::Sender(StreamEnd::Violation(condition))) => {
+            tracing::warn!("xmpp client: {condition}; connection ended");
+            finish_both(
+                &broker,
+                client,
+                &(client_header + &stream_error_xml(condition, "")),
+                instance,
+                CLOSE,
+            )
+            .await;
             Ended::Left
         }
-        (true, Stop::Sender(Cut::Ended)) | (false, Stop::Receiver) => {
-            end(&broker, client, "", instance, CLOSE).await;
+        (true, DirectionEnd::Sender(StreamEnd::Disconnected)) | (false, DirectionEnd::Receiver) => {
+            finish_both(&broker, client, "", instance, CLOSE).await;
             Ended::Left
         }
-        (from_client, stop) => {
-            let words = match (from_client, stop) {
-                (false, Stop::Sender(Cut::Bad(condition))) => {
-                    tracing::warn!("xmpp instance: {condition}; its connection is ended");
-                    error(condition, "")
+        (from_client, end) => {
+            let to_instance = match (from_client, end) {
+                (false, DirectionEnd::Sender(StreamEnd::Violation(condition))) => {
+                    tracing::warn!("xmpp instance: {condition}; connection ended");
+                    stream_error_xml(condition, "")
                 }
                 _ => String::new(),
             };
-            end(
+            finish_both(
                 &broker,
                 client,
-                &(opening + &error("remote-connection-failed", "the server has left")),
+                &(client_header + &stream_error_xml("remote-connection-failed", "the server has left")),
                 instance,
-                &words,
+                &to_instance,
             )
             .await;
-            last.unwrap_or(Ended::Broken)
+            announced_end.unwrap_or(Ended::Broken)
         }
     }
 }
 
-/// Last words to both, and the end of both.
-async fn end(
+/// Writes the last units to both sides and closes both connections.
+async fn finish_both(
     broker: &Rc<Broker>,
-    client: &mut Side,
+    client: &mut XmppConnection,
     to_client: &str,
-    instance: &mut Side,
+    instance: &mut XmppConnection,
     to_instance: &str,
 ) {
-    tokio::join!(client.finish(broker, to_client, LINGER), instance.finish(broker, to_instance, LINGER));
+    tokio::join!(
+        client.finish(broker, to_client, CLOSE_TIMEOUT),
+        instance.finish(broker, to_instance, CLOSE_TIMEOUT)
+    );
 }
--- a/src/net/xmpp/stream.rs
+++ b/src/net/xmpp/stream.rs
@@ -1,5 +1,5 @@
-//! One end of an XMPP stream: bytes in, whole units out. What leaves this module is always a whole stanza, so
-//! that a stream can be ended at any moment and is well-formed still.
+//! Reads and writes one XMPP stream. Bytes are split into whole units (headers, stanzas, white space), and only whole
+//! units are queued for writing, so a stream that is ended at any time is still well-formed.
 
 use crate::broker::Broker;
 use crate::net::buffer::Buffer;
@@ -8,79 +8,80 @@
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, ReadHalf, WriteHalf};
 
-/// Namespace of streams.
+/// XML namespace of streams.
 pub const STREAMS: &str = "http://etherx.jabber.org/streams";
-/// Namespace of SASL.
+/// XML namespace of SASL.
 pub const SASL: &str = "urn:ietf:params:xml:ns:xmpp-sasl";
-/// Namespace of STARTTLS.
+/// XML namespace of STARTTLS.
 pub const TLS: &str = "urn:ietf:params:xml:ns:xmpp-tls";
-/// End of a stream.
+/// Closing tag of a stream.
 pub const CLOSE: &str = "</stream:stream>";
 
 /// A byte stream, plain or under TLS.
-pub trait Io: AsyncRead + AsyncWrite + Unpin {}
-impl<T: AsyncRead + AsyncWrite + Unpin> Io for T {}
+pub trait ByteStream: AsyncRead + AsyncWrite + Unpin {}
+impl<T: AsyncRead + AsyncWrite + Unpin> ByteStream for T {}
 
-/// A top-level element as far as a front looks into it.
+/// The parts of a top-level element that the XMPP front uses.
 #[derive(Debug, Default, Clone)]
 pub struct Element {
-    /// Its namespace.
+    /// Namespace of the element.
     pub namespace: String,
-    /// Its name.
+    /// Name of the element.
     pub name: String,
     /// Attributes without a namespace.
     pub attributes: Vec<(String, String)>,
-    /// Names of the elements within, at any depth.
-    pub within: Vec<String>,
-    /// Its text and that of the elements within, in order.
+    /// Names of its descendants, at any depth.
+    pub descendants: Vec<String>,
+    /// Its text and that of its descendants, in order.
     pub texts: Vec<String>,
 }
 
 impl Element {
-    /// An attribute.
-    pub fn get(&self, name: &str) -> Option<&str> {
+    /// Returns the value of an attribute.
+    pub fn attribute(&self, name: &str) -> Option<&str> {
         self.attributes.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    /// Whether this is it.
+    /// Returns whether the element has this namespace and name.
     pub fn is(&self, namespace: &str, name: &str) -> bool {
         self.namespace == namespace && self.name == name
     }
 
-    /// Whether an element of this name is within.
-    pub fn has(&self, name: &str) -> bool {
-        self.within.iter().any(|n| n == name)
+    /// Returns whether a descendant has this name.
+    pub fn has_descendant(&self, name: &str) -> bool {
+        self.descendants.iter().any(|n| n == name)
     }
 }
 
-/// What a stream is made of.
+/// A part of a stream that is read and relayed as a whole.
 #[derive(Debug)]
 pub enum Unit {
-    /// The opening tag, with the declaration before it.
+    /// The opening tag, with the XML declaration before it.
     Header(Element),
-    /// A first-level element: a stanza, or what negotiates the stream.
+    /// A first-level element: a stanza or an element of stream negotiation.
     Stanza(Element),
-    /// White space between stanzas, which keeps a connection alive.
+    /// White space between stanzas, which serves as a keep-alive.
     Space,
     /// The closing tag.
     Close,
 }
 
-/// Why no unit comes any more.
+/// Why a stream cannot be read any further.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Cut {
-    /// The connection has ended, or broke.
-    Ended,
-    /// It broke the rules: the stream error that says so.
-    Bad(&'static str),
+pub enum StreamEnd {
+    /// The connection was closed or failed.
+    Disconnected,
+    /// The peer violated the protocol; holds the condition of the stream error to send.
+    Violation(&'static str),
 }
 
-/// Finds the units in what has come.
+/// Splits received bytes into units.
 struct Framer {
     parser: Parser,
-    /// How much of the buffer the parser has had, and how much its events account for.
-    fed: usize,
-    told: usize,
+    /// Number of buffered bytes given to the parser.
+    parsed: usize,
+    /// Number of buffered bytes that the events returned so far account for.
+    reported: usize,
     depth: usize,
     element: Element,
 }
@@ -88,41 +89,44 @@
 impl Framer {
     fn new() -> Framer {
         let mut parser = Parser::new();
-        // Else white space that keeps a connection alive is held until the next stanza, and looks like one
-        // that stalls.
+        // With buffering, keep-alive white space would be held back until the next stanza and look like a stalled one.
         parser.set_text_buffering(false);
-        Framer { parser, fed: 0, told: 0, depth: 0, element: Element::default() }
+        Framer { parser, parsed: 0, reported: 0, depth: 0, element: Element::default() }
     }
 
-    fn next(&mut self, data: &[u8]) -> Result<Option<(Unit, usize)>, Cut> {
+    fn next_unit(&mut self, data: &[u8]) -> Result<Option<(Unit, usize)>, StreamEnd> {
         loop {
-            let mut rest = &data[self.fed..];
+            let mut rest = &data[self.parsed..];
             let event = self.parser.parse(&mut rest, false);
-            self.fed = data.len() - rest.len();
+            self.parsed = data.len() - rest.len();
             let event = match event {
                 Ok(Some(event)) => event,
                 Ok(None) | Err(EndOrError::NeedMoreData) => return Ok(None),
-                // No DTD, entity, comment or processing instruction (RFC 6120, 11.1).
+                // DTDs, entities, comments and processing instructions are prohibited (RFC 6120, 11.1).
                 Err(EndOrError::Error(Error::RestrictedXml(_) | Error::UndeclaredEntity)) => {
-                    return Err(Cut::Bad("restricted-xml"))
+                    return Err(StreamEnd::Violation("restricted-xml"))
                 }
                 Err(EndOrError::Error(Error::InvalidUtf8Byte(_))) => {
-                    return Err(Cut::Bad("unsupported-encoding"))
+                    return Err(StreamEnd::Violation("unsupported-encoding"))
                 }
-                // The parser calls some of them a syntax error, by where they stand.
+                // In some positions the parser reports them as a syntax error.
                 Err(EndOrError::Error(_)) => {
-                    let from = data[self.told..].trim_ascii_start();
+                    let from = data[self.reported..].trim_ascii_start();
                     let restricted = from.starts_with(b"<!") || from.starts_with(b"<?");
-                    return Err(Cut::Bad(if restricted { "restricted-xml" } else { "not-well-formed" }));
+                    return Err(StreamEnd::Violation(if restricted {
+                        "restricted-xml"
+                    } else {
+                        "not-well-formed"
+                    }));
                 }
             };
-            self.told += event.metrics().len();
+            self.reported += event.metrics().len();
             let unit = match event {
                 Event::XmlDeclaration(..) => continue,
                 Event::StartElement(_, (namespace, name), attributes) => {
                     self.depth += 1;
                     if self.depth > 2 {
-                        self.element.within.push(name.to_string());
+                        self.element.descendants.push(name.to_string());
                         continue;
                     }
                     let attributes = attributes.iter().filter(|((namespace, _), _)| namespace.is_empty());
@@ -147,7 +151,7 @@
                 }
                 Event::Text(_, text) if self.depth == 1 => {
                     if !text.trim().is_empty() {
-                        return Err(Cut::Bad("bad-format"));
+                        return Err(StreamEnd::Violation("bad-format"));
                     }
                     Unit::Space
                 }
@@ -156,9 +160,9 @@
                     continue;
                 }
             };
-            let n = self.told;
-            self.fed -= n;
-            self.told = 0;
+            let n = self.reported;
+            self.parsed -= n;
+            self.reported = 0;
             return Ok(Some((unit, n)));
         }
     }
@@ -166,69 +170,72 @@
 
 /// Limits of a stream.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// The longest unit, in bytes.
-    pub stanza: usize,
-    /// How long a unit may take from its first byte to its last.
-    pub stall: u64,
+pub struct StreamLimits {
+    /// Longest unit, in bytes.
+    pub max_unit_bytes: usize,
+    /// Time allowed from the first byte of a unit to its last, in microseconds.
+    pub unit_timeout: u64,
 }
 
-/// The reading end.
+/// Reads units from a stream.
 pub struct Reader<R> {
     half: R,
     buffer: Buffer,
     framer: Framer,
-    /// Since when a unit is under way.
-    since: Option<u64>,
-    bounds: Bounds,
+    /// When the first byte of an incomplete unit arrived.
+    unit_started: Option<u64>,
+    limits: StreamLimits,
     broker: Rc<Broker>,
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
-    /// A reading end that has read nothing.
-    pub fn new(half: R, bounds: Bounds, broker: &Rc<Broker>) -> Reader<R> {
+    /// Returns a reader that has read nothing.
+    pub fn new(half: R, limits: StreamLimits, broker: &Rc<Broker>) -> Reader<R> {
         let (buffer, framer) = (Buffer::default(), Framer::new());
-        Reader { half, buffer, framer, since: None, bounds, broker: broker.clone() }
+        Reader { half, buffer, framer, unit_started: None, limits, broker: broker.clone() }
     }
 
-    /// The next unit and its bytes. May be dropped and called again at any time.
-    pub async fn unit(&mut self) -> Result<(Unit, Vec<u8>), Cut> {
+    /// Returns the next unit and its bytes. Cancel-safe: no bytes are lost if the future is dropped.
+    pub async fn read_unit(&mut self) -> Result<(Unit, Vec<u8>), StreamEnd> {
         loop {
-            if let Some((unit, n)) = self.framer.next(self.buffer.data())? {
+            if let Some((unit, n)) = self.framer.next_unit(self.buffer.data())? {
                 let bytes = self.buffer.data()[..n].to_vec();
                 self.buffer.consume(n);
-                // What has come of the next one counts from now on.
-                self.since = (!self.buffer.data().is_empty()).then(|| self.broker.now());
+                // The time limit of a unit that is partly buffered starts now.
+                self.unit_started = (!self.buffer.data().is_empty()).then(|| self.broker.now());
                 return Ok((unit, bytes));
             }
-            let held = self.buffer.data().len();
-            if held >= self.bounds.stanza {
-                return Err(Cut::Bad("policy-violation"));
+            let buffered = self.buffer.data().len();
+            if buffered >= self.limits.max_unit_bytes {
+                return Err(StreamEnd::Violation("policy-violation"));
             }
-            let until = self.since.map_or(u64::MAX, |since| since.saturating_add(self.bounds.stall));
+            let deadline = self
+                .unit_started
+                .map_or(u64::MAX, |started| started.saturating_add(self.limits.unit_timeout));
             tokio::select! {
                 biased;
-                read = self.buffer.read_from(&mut self.half, self.bounds.stanza) => match read {
+                read = self.buffer.read_from(&mut self.half, self.limits.max_unit_bytes) => match read {
                     Ok(n) if n > 0 => {
-                        self.since.get_or_insert_with(|| self.broker.now());
+                        self.unit_started.get_or_insert_with(|| self.broker.now());
                     }
-                    _ => return Err(Cut::Ended),
+                    _ => return Err(StreamEnd::Disconnected),
                 },
-                // A peer that stalls within a stanza must not hold its place for ever.
-                () = self.broker.until(until) => return Err(Cut::Bad("connection-timeout")),
+                // A peer that stalls within a stanza must not hold its connection indefinitely.
+                () = self.broker.until(deadline) => return Err(StreamEnd::Violation("connection-timeout")),
             }
         }
     }
 
-    /// Whether a unit has begun and not ended.
-    pub fn under_way(&self) -> bool {
+    /// Returns whether a unit is incomplete.
+    pub fn has_partial_unit(&self) -> bool {
         !self.buffer.data().is_empty()
     }
 
-    /// Ends when the peer has left; what it sends meanwhile is kept, up to the bound.
-    pub async fn gone(&mut self) {
-        while self.buffer.data().len() < self.bounds.stanza {
-            match self.buffer.read_from(&mut self.half, self.bounds.stanza).await {
+    /// Waits until the peer has closed. Bytes received meanwhile are kept; once they reach the limit it waits
+    /// indefinitely.
+    pub async fn closed(&mut self) {
+        while self.buffer.data().len() < self.limits.max_unit_bytes {
+            match self.buffer.read_from(&mut self.half, self.limits.max_unit_bytes).await {
                 Ok(n) if n > 0 => {}
                 _ => return,
             }
@@ -236,24 +243,25 @@
         std::future::pending().await
     }
 
-    /// A new stream begins on the same connection.
+    /// Expects a new stream on the same connection.
     pub fn restart(&mut self) {
         self.framer = Framer::new();
     }
 
-    /// Reads and drops what comes until the peer closes.
+    /// Reads and drops bytes until the peer closes.
     pub async fn drain(&mut self) {
         loop {
             let n = self.buffer.data().len();
             self.buffer.consume(n);
-            if !matches!(self.buffer.read_from(&mut self.half, self.bounds.stanza).await, Ok(n) if n > 0) {
+            if !matches!(self.buffer.read_from(&mut self.half, self.limits.max_unit_bytes).await, Ok(n) if n > 0)
+            {
                 return;
             }
         }
     }
 }
 
-/// The writing end: what is queued is whole units, and a write that was dropped goes on where it stopped.
+/// Writes whole units to a stream. Cancel-safe: a later write continues after the last byte sent.
 pub struct Writer<W> {
     half: W,
     queue: Vec<u8>,
@@ -261,90 +269,91 @@
 }
 
 impl<W: AsyncWrite + Unpin> Writer<W> {
-    /// A writing end with nothing queued.
+    /// Returns a writer with an empty queue.
     pub fn new(half: W) -> Writer<W> {
         Writer { half, queue: Vec::new(), sent: 0 }
     }
 
-    /// Queues bytes.
+    /// Queues bytes without writing.
     pub fn push(&mut self, bytes: &[u8]) {
         self.queue.extend_from_slice(bytes);
     }
 
-    /// Writes what is queued.
-    pub async fn flush(&mut self) -> Result<(), Cut> {
+    /// Writes all queued bytes.
+    pub async fn flush(&mut self) -> Result<(), StreamEnd> {
         while self.sent < self.queue.len() {
             match self.half.write(&self.queue[self.sent..]).await {
                 Ok(n) if n > 0 => self.sent += n,
-                _ => return Err(Cut::Ended),
+                _ => return Err(StreamEnd::Disconnected),
             }
         }
         self.queue.clear();
         self.sent = 0;
-        self.half.flush().await.map_err(|_| Cut::Ended)
+        self.half.flush().await.map_err(|_| StreamEnd::Disconnected)
     }
 
-    /// Writes bytes and what was queued before.
-    pub async fn write(&mut self, bytes: &[u8]) -> Result<(), Cut> {
+    /// Queues bytes and writes the queue.
+    pub async fn write_all(&mut self, bytes: &[u8]) -> Result<(), StreamEnd> {
         self.push(bytes);
         self.flush().await
     }
 
-    /// Ends the writing side.
+    /// Closes the writing side.
     pub async fn shutdown(&mut self) {
-        // The peer may be gone: then there is nobody to tell.
+        // Fails where the peer has closed already, which needs no handling.
         let _ = self.half.shutdown().await;
     }
 }
 
-/// Both ends of a connection.
-pub struct Side {
-    /// What comes.
-    pub reader: Reader<ReadHalf<Box<dyn Io>>>,
-    /// What goes.
-    pub writer: Writer<WriteHalf<Box<dyn Io>>>,
+/// An XMPP connection, split for reading and writing.
+pub struct XmppConnection {
+    /// Reads from the peer.
+    pub reader: Reader<ReadHalf<Box<dyn ByteStream>>>,
+    /// Writes to the peer.
+    pub writer: Writer<WriteHalf<Box<dyn ByteStream>>>,
 }
 
-impl Side {
-    /// A connection on which nothing has passed.
-    pub fn new(io: Box<dyn Io>, bounds: Bounds, broker: &Rc<Broker>) -> Side {
+impl XmppConnection {
+    /// Returns a connection on which nothing has been read or written.
+    pub fn new(io: Box<dyn ByteStream>, limits: StreamLimits, broker: &Rc<Broker>) -> XmppConnection {
         let (read, write) = tokio::io::split(io);
-        Side { reader: Reader::new(read, bounds, broker), writer: Writer::new(write) }
+        XmppConnection { reader: Reader::new(read, limits, broker), writer: Writer::new(write) }
     }
 
-    /// The byte stream itself, for TLS; what has been read beyond the last unit is dropped, as the RFC wants.
-    pub fn into_io(self) -> Box<dyn Io> {
+    /// Returns the byte stream, for the TLS handshake. Bytes read beyond the last unit are dropped, as RFC 6120
+    /// requires.
+    pub fn into_io(self) -> Box<dyn ByteStream> {
         self.reader.half.unsplit(self.writer.half)
     }
 
-    /// Writes last words, ends the writing side and waits a while for the peer to close: bytes unread at the
-    /// close would reset the connection and lose them.
-    pub async fn finish(&mut self, broker: &Rc<Broker>, words: &str, within: u64) {
+    /// Writes `last_units`, closes the writing side and waits up to `timeout` microseconds for the peer to close: bytes
+    /// unread at the close would reset the connection and lose what was written.
+    pub async fn finish(&mut self, broker: &Rc<Broker>, last_units: &str, timeout: u64) {
         let finished = async {
-            if self.writer.write(words.as_bytes()).await.is_ok() {
+            if self.writer.write_all(last_units.as_bytes()).await.is_ok() {
                 self.writer.shutdown().await;
                 self.reader.drain().await;
             }
         };
         tokio::select! {
             () = finished => {}
-            () = broker.after(within) => {}
+            () = broker.after(timeout) => {}
         }
     }
 }
 
-/// A stream error and the end of the stream.
-pub fn error(condition: &str, text: &str) -> String {
+/// Returns the XML of a stream error followed by the closing tag.
+pub fn stream_error_xml(condition: &str, text: &str) -> String {
     let ns = "urn:ietf:params:xml:ns:xmpp-streams";
     let text = match text {
         "" => String::new(),
-        text => format!("<text xmlns='{ns}' xml:lang='en'>{}</text>", escaped(text)),
+        text => format!("<text xmlns='{ns}' xml:lang='en'>{}</text>", escape_xml(text)),
     };
     format!("<stream:error><{condition} xmlns='{ns}'/>{text}</stream:error>{CLOSE}")
 }
 
-/// Text as it may stand in XML.
-pub fn escaped(text: &str) -> String {
+/// Escapes a text for use in XML.
+pub fn escape_xml(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('\'', "&apos;")
 }
 
@@ -352,19 +361,19 @@
 mod tests {
     use super::*;
 
-    /// Guards against white space that keeps a connection alive being taken for a stanza that stalls.
+    /// Guards against keep-alive white space being taken for a stalled stanza.
     #[test]
-    fn white_space_between_stanzas_is_a_unit_at_once_and_half_a_stanza_is_none() {
+    fn white_space_between_stanzas_is_a_unit_at_once_and_a_partial_stanza_is_none() {
         let mut framer = Framer::new();
         let mut data = format!("<stream:stream xmlns:stream='{STREAMS}'>").into_bytes();
-        let Ok(Some((Unit::Header(_), n))) = framer.next(&data) else { panic!("the header") };
+        let Ok(Some((Unit::Header(_), n))) = framer.next_unit(&data) else { panic!("the header") };
         data.drain(..n);
         data.push(b' ');
-        let Ok(Some((Unit::Space, 1))) = framer.next(&data) else { panic!("the white space") };
+        let Ok(Some((Unit::Space, 1))) = framer.next_unit(&data) else { panic!("the white space") };
         data.clear();
         data.extend(b"<a><b/>");
-        assert!(matches!(framer.next(&data), Ok(None)));
+        assert!(matches!(framer.next_unit(&data), Ok(None)));
         data.extend(b"</a> ");
-        assert!(matches!(framer.next(&data), Ok(Some((Unit::Stanza(_), 11)))));
+        assert!(matches!(framer.next_unit(&data), Ok(Some((Unit::Stanza(_), 11)))));
     }
 }
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -15,7 +15,7 @@
 use crate::net::admin::{self, AdminServer};
 use crate::net::idle::IdleConnections;
 use crate::net::listener::{Listener, ReservedAddress};
-use crate::net::xmpp::Front;
+use crate::net::xmpp::XmppFront;
 use crate::net::ConnectionCounter;
 use crate::operator::Operator;
 use std::path::{Path, PathBuf};
@@ -149,7 +149,7 @@
     let xmpp = match operator.xmpp {
         Some(file) => {
             let address = file.listen.ok_or("the XMPP front has no address")?;
-            let front = Rc::new(Front::new(broker.clone(), file)?);
+            let front = Rc::new(XmppFront::new(broker.clone(), file)?);
             let serve = move |stream, from| net::xmpp::serve(front.clone(), idle.clone(), stream, from);
             Some((ReservedAddress::bind(address)?, serve))
         }
