--- a/src/config.rs
+++ b/src/config.rs
@@ -168,18 +168,22 @@
     pub service: Vec<XmppService>,
 }
 
+/// 64 KiB.
 fn default_max_stanza() -> usize {
     65_536
 }
 
+/// 5 s, in microseconds.
 fn default_stall() -> Span {
     Span(5_000_000)
 }
 
+/// 10 s, in microseconds.
 fn default_login() -> Span {
     Span(10_000_000)
 }
 
+/// 1 s, in microseconds.
 fn default_finish() -> Span {
     Span(1_000_000)
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -21,7 +21,7 @@
 pub const MAX_CONNECTIONS: usize = 24;
 /// Time allowed for a command to arrive, and again for its answer to be taken, in microseconds. Operators' tools may
 /// connect seconds before they send the command.
-const CALL_TIMEOUT: Micros = 10_000_000;
+const COMMAND_TIMEOUT: Micros = 10_000_000;
 
 /// A command of the operators' endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,11 +42,11 @@
     GiveUp,
     /// Reports the zones according to the fleet's plan.
     Zones,
-    /// Orders something of a zone, or nothing any more (`None`), for a time in milliseconds.
+    /// Orders an evacuation or a hold of a zone for a time in milliseconds; `None` withdraws the order.
     Zone(String, Option<OrderKind>, u64),
 }
 
-/// Duration of an order for a zone that names none, in seconds.
+/// Duration of an order for a zone that states none, in seconds.
 const DEFAULT_ORDER_SECONDS: u64 = 3_600;
 
 /// Longest name of a zone in a command, in bytes.
@@ -171,7 +171,7 @@
         let line = tokio::select! {
             biased;
             line = link.read_line() => line,
-            _ = slot.ended(server.idle.broker().now() + CALL_TIMEOUT) => return,
+            _ = slot.ended(server.idle.broker().now() + COMMAND_TIMEOUT) => return,
         };
         let command = match line {
             // One line per connection: more than that is a misuse of the protocol, and nothing is carried out.
@@ -193,7 +193,7 @@
     };
     tokio::select! {
         () = written => {}
-        () = server.idle.broker().after(CALL_TIMEOUT) => {}
+        () = server.idle.broker().after(COMMAND_TIMEOUT) => {}
     }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -34,7 +34,7 @@
     /// Number of changes of the address.
     address_changes: Cell<u64>,
     /// Value of `address_changes` when discovery last sent the whole list.
-    list_received_at: Cell<u64>,
+    change_at_last_list: Cell<u64>,
     current: RefCell<Option<JoinHandle<()>>>,
     previous: RefCell<Vec<JoinHandle<()>>>,
 }
@@ -42,13 +42,13 @@
 impl DiscoveryWatcher {
     /// Returns a watcher without an open watch.
     pub fn new(broker: Rc<Broker>, address: SocketAddr) -> Rc<DiscoveryWatcher> {
-        let (address_changes, list_received_at) = (Cell::new(0), Cell::new(0));
+        let (address_changes, change_at_last_list) = (Cell::new(0), Cell::new(0));
         let (current, previous) = (RefCell::default(), RefCell::default());
         Rc::new(DiscoveryWatcher {
             broker,
             address: Cell::new(address),
             address_changes,
-            list_received_at,
+            change_at_last_list,
             current,
             previous,
         })
@@ -67,7 +67,7 @@
         let watch = spawn_local(async move {
             let mut from = from;
             // Versions are not comparable between discovery services: a new one has to send the whole list first.
-            let list_received = || watcher.list_received_at.get() == change;
+            let list_received = || watcher.change_at_last_list.get() == change;
             while let Err(e) = watcher.run(address, Some(from).filter(|_| list_received())).await {
                 tracing::warn!("discovery: the watch at {address} ended: {e}");
                 // A discovery service that goes down closes its watches. A silent watch means that only this balancer's
@@ -108,7 +108,7 @@
                 }
                 let listing: Listing = serde_json::from_slice(&body_bytes).map_err(parse_error)?;
                 let index = listing.index;
-                self.list_received_at.set(self.address_changes.get());
+                self.change_at_last_list.set(self.address_changes.get());
                 self.previous.borrow_mut().drain(..).for_each(|watch| watch.abort());
                 broker.listed(ListKind::Full, listing);
                 broker.list_confirmed();
@@ -200,7 +200,7 @@
     }
 }
 
-/// What comes next of a body; none at its end.
+/// Returns the next part of a body; none at its end. Fails after [`SILENCE_TIMEOUT`] without data.
 async fn next_chunk(broker: &Rc<Broker>, body: &mut Incoming) -> Result<Option<Bytes>, String> {
     let frame = tokio::select! {
         frame = body.frame() => frame,
