--- a/src/net/xmpp/mod.rs
+++ b/src/net/xmpp/mod.rs
@@ -309,7 +309,7 @@
             _ => format!("{authcid}@{}", service.domain).to_lowercase(),
         },
         ("PLAIN", _) => return Err(LoginFailure::SaslFailure("malformed-request")),
-        // Other mechanisms do not reveal a user to the balancer: such a connection has no key.
+        // Other mechanisms do not reveal a user to the balancer: each connection is placed on its own, without a key.
         _ => String::new(),
     };
     Ok(Login { service, header, auth, jid })
