--- a/src/bin/oakdeal-drill.rs
+++ b/src/bin/oakdeal-drill.rs
@@ -1,7 +1,7 @@
 //! Adapter for the simulator: runs one [`PlacementPolicy`] for each simulated node and speaks the simulator's
 //! wire format on standard input and output. It makes no decisions of its own.
 
-use oakdeal::wire::{clock, reply, Line, Names, Reply};
+use oakdeal::wire::{action_reply, frame_time, Line, Names, Reply};
 use oakdeal::{Action, PlacementPolicy};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -28,7 +28,7 @@
             .map_err(|e| at_line(format!("expected a message of the wire format: {e}")))?;
         match (line, batch) {
             (Line::Frame { time_ms, frame }, None) => {
-                batch = Some((clock(time_ms), frame));
+                batch = Some((frame_time(time_ms), frame));
                 text.clear();
             }
             (Line::Frame { .. }, Some(_)) => {
@@ -57,7 +57,7 @@
                     actions.clear();
                     policy.handle(now, event, &mut actions);
                     for action in &actions {
-                        write_reply(&mut text, &reply(node, action))?;
+                        write_reply(&mut text, &action_reply(node, action))?;
                     }
                 }
             }
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -12,11 +12,11 @@
 use crate::group::ACCOUNT_TASK;
 use crate::logging;
 use crate::net;
-use crate::net::admin::{self, Door};
-use crate::net::inherited::{Listener, Reserved};
-use crate::net::lobby::Lobby;
-use crate::net::xmpp::Front;
-use crate::net::Connections;
+use crate::net::admin::{self, AdminServer};
+use crate::net::idle::IdleConnections;
+use crate::net::listener::{Listener, ReservedAddress};
+use crate::net::xmpp::XmppFront;
+use crate::net::ConnectionCounter;
 use crate::operator::Operator;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -25,10 +25,11 @@
 use tokio::task::{spawn_local, LocalSet};
 
 /// Descriptors that are kept for other things than connections: the listeners, discovery, the runtime's own,
-/// and connections of the lobby that are about to end.
-const RESERVED: usize = 32 + admin::SEATS;
-/// Of the rest, this part are seats of the lobby, so that those who ask nothing never take from those who do.
-const LOBBY: usize = 5;
+/// and connections without a command that are about to end.
+const RESERVED: usize = 32 + admin::MAX_CONNECTIONS;
+/// One part in this many of the rest is for connections without a command, so that those never take descriptors from
+/// connections with one.
+const IDLE_PART: usize = 5;
 /// SIGKILL comes no sooner after SIGTERM than the longest deadline, taken for this where it is longer, and some
 /// tenths of a second more.
 const LONGEST_END: u64 = 3_000_000;
@@ -85,16 +86,16 @@
     let (settings, names) = config.settings.translate().map_err(|e| e.to_string())?;
     let (peers, must_ask_in_us) = (settings.peers_total, settings.max_poll_interval);
     tracing::debug!(peers, must_ask_in_us, discovery = ?settings.discovery, "discovery: settings");
-    let seed = config.seed();
+    let seed = config.random_seed();
     let admin = config
-        .admin(std::env::var("LB_ADMIN").ok())
+        .admin_address(std::env::var("LB_ADMIN").ok())
         .map_err(|e| sources.config.display().to_string() + ": " + &e)?;
     let descriptors = config.limits.sockets.saturating_sub(RESERVED);
-    let seats = descriptors / LOBBY;
+    let idle_capacity = descriptors / IDLE_PART;
     let worths: Vec<f64> = settings.classes.iter().map(|c| c.worth).collect();
     let zoned = settings.clone();
     let (broker, ordered) =
-        Broker::new(settings, names, seed, descriptors - seats).map_err(|e| e.to_string())?;
+        Broker::new(settings, names, seed, descriptors - idle_capacity).map_err(|e| e.to_string())?;
     let accounted = operator.terms.is_some();
     let (mut plans, started) = (None, unix_ms());
     if let Some(terms) = operator.failover {
@@ -118,21 +119,21 @@
         spawn_local(task.run(broker.clone()));
         group = Some(board);
     }
-    let lobby = Lobby::new(broker.clone(), seats);
-    let parting = lobby.clone();
+    let idle = IdleConnections::new(broker.clone(), idle_capacity);
+    let leaving_idle = idle.clone();
     let listener = match std::env::var("LB_FD") {
         Ok(descriptor) if !descriptor.is_empty() => {
-            Reserved::Inherited(Listener::inherited(&descriptor, config.listen)?)
+            ReservedAddress::Inherited(Listener::inherited(&descriptor, config.listen)?)
         }
-        _ => Reserved::bind(config.listen)?,
+        _ => ReservedAddress::bind(config.listen)?,
     };
-    let shared = listener.shared();
+    let shared = listener.is_shared();
     let place = upgrade::place().filter(|_| shared);
     place.iter().for_each(|place| upgrade::clear(place));
 
     let sweeper = broker.clone();
     spawn_local(async move { sweeper.sweep().await });
-    spawn_local(net::orders(broker.clone(), ordered, config.discovery));
+    spawn_local(net::run_orders(broker.clone(), ordered, config.discovery));
     if let Some(known) = config.known.take() {
         broker.listed(ListKind::Cached, known);
     } else {
@@ -142,29 +143,35 @@
     spawn_local(async move { keeper.keep_contracts().await });
     let keeper = broker.clone();
     spawn_local(async move { keeper.keep_drain().await });
-    let guests = lobby.clone();
-    let connections = Connections::default();
-    let serve = move |stream, from| net::platform::serve(guests.clone(), stream, from);
+    let line_idle = idle.clone();
+    let connections = ConnectionCounter::default();
+    let serve = move |stream, from| net::platform::serve(line_idle.clone(), stream, from);
     let xmpp = match operator.xmpp {
         Some(file) => {
             let address = file.listen.ok_or("the XMPP front has no address")?;
-            let front = Rc::new(Front::new(broker.clone(), file)?);
-            let serve = move |stream, from| net::xmpp::serve(front.clone(), lobby.clone(), stream, from);
-            Some((Reserved::bind(address)?, serve))
+            let front = Rc::new(XmppFront::new(broker.clone(), file)?);
+            let serve = move |stream, from| net::xmpp::serve(front.clone(), idle.clone(), stream, from);
+            Some((ReservedAddress::bind(address)?, serve))
         }
         None => None,
     };
 
     // Polled by the program's main future, so before all connections in each turn of the loop.
-    let door = LocalSet::new();
+    let admin_tasks = LocalSet::new();
     if let Some(address) = admin {
         let listener = Listener::bind(address);
         let listener = listener.map_err(|e| format!("admin: {e}; give an address that is free"))?;
-        let at = listener.at()?;
-        let lobby = Lobby::new(broker.clone(), admin::SEATS);
-        let inside = Door::new(Operations::new(broker.clone()), group.clone(), lobby);
-        let serve = move |stream, from| admin::serve(inside.clone(), stream, from);
-        door.spawn_local(net::accept(broker.clone(), listener, Connections::default(), "operators", serve));
+        let at = listener.local_address()?;
+        let idle = IdleConnections::new(broker.clone(), admin::MAX_CONNECTIONS);
+        let admin_server = AdminServer::new(Operations::new(broker.clone()), group.clone(), idle);
+        let serve = move |stream, from| admin::serve(admin_server.clone(), stream, from);
+        admin_tasks.spawn_local(net::accept_connections(
+            broker.clone(),
+            listener,
+            ConnectionCounter::default(),
+            "operators",
+            serve,
+        ));
         tracing::info!("{} answers operators on {at}", config.name);
     }
 
@@ -178,15 +185,21 @@
         host.begin();
         if let Some((reserved, serve)) = xmpp {
             let listener = reserved.listen()?;
-            tracing::info!("{name} serves XMPP on {}", listener.at()?);
-            spawn_local(net::accept(host.clone(), listener, counted.clone(), "xmpp clients", serve));
+            tracing::info!("{name} serves XMPP on {}", listener.local_address()?);
+            spawn_local(net::accept_connections(
+                host.clone(),
+                listener,
+                counted.clone(),
+                "xmpp clients",
+                serve,
+            ));
         }
         let listener = listener.listen()?;
-        tracing::info!("{name} serves {}", listener.at()?);
+        tracing::info!("{name} serves {}", listener.local_address()?);
         if let Some(place) = left {
             spawn_local(upgrade::take_up(host.clone(), place, name));
         }
-        spawn_local(net::accept(host, listener, counted, "clients", serve));
+        spawn_local(net::accept_connections(host, listener, counted, "clients", serve));
         Ok::<(), String>(())
     };
     let clients = spawn_local(clients);
@@ -210,11 +223,11 @@
         if let Some(place) = &place {
             upgrade::leave(&broker, place, &config.name, broker.now() + span(&broker) + OVERTIME);
         }
-        leave(&broker, &parting, &connections, shared).await;
+        leave(&broker, &leaving_idle, &connections, shared).await;
         clerk.write();
     };
-    let door = async {
-        door.await;
+    let admin_endpoint = async {
+        admin_tasks.await;
         std::future::pending().await
     };
     let cannot_listen = async {
@@ -225,7 +238,7 @@
     };
     tokio::select! {
         biased;
-        () = door => {}
+        () = admin_endpoint => {}
         () = ends => {}
         e = cannot_listen => return Err(e),
         // They end only with the runtime.
@@ -312,7 +325,7 @@
     });
     match read {
         Ok((config, now)) => {
-            let ignored = match &Config::ignored(begun, &now)[..] {
+            let ignored = match &Config::changes_ignored_until_restart(begun, &now)[..] {
                 [] => String::new(),
                 names => format!("; ignored until the next start: {}", names.join(", ")),
             };
@@ -350,7 +363,7 @@
 ///
 /// Where it shares its socket with a process that comes after it there is somebody to come back to at once, and it
 /// ends when its last connection has.
-async fn leave(broker: &Rc<Broker>, lobby: &Lobby, connections: &Connections, shared: bool) {
+async fn leave(broker: &Rc<Broker>, idle: &IdleConnections, connections: &ConnectionCounter, shared: bool) {
     let (begun, span) = (broker.now(), span(broker));
     let (from, end) = (if shared { begun } else { begun + span * FROM / 10 }, begun + span);
     tracing::info!("leaving: {} connections are asked to come again", broker.in_hand());
@@ -358,13 +371,13 @@
     let mut parts = None;
     loop {
         let now = broker.now();
-        if shared && connections.open() == 0 && now >= begun + COMING {
+        if shared && connections.count() == 0 && now >= begun + COMING {
             break;
         }
         if now >= end {
             // Nobody is left without an answer: who rests here may be asking in this very moment.
-            lobby.clear();
-            let parted = connections.open() == 0 || now >= *parts.get_or_insert(now) + PARTING;
+            idle.evict_waiting();
+            let parted = connections.count() == 0 || now >= *parts.get_or_insert(now) + PARTING;
             if parted && broker.in_hand() == 0 || now >= end + OVERTIME {
                 break;
             }
