--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -5,7 +5,7 @@
 use crate::scenario::plan::{Strike, BREAK};
 use crate::scenario::Kind;
 use crate::score::record::{letter, Attempt, What};
-use oakdeal::broker::SILENT;
+use oakdeal::broker::SILENCE_TIMEOUT;
 use oakdeal::serve::FIRST_LIST;
 use oakdeal::{Event, HostState, ListKind, Micros, Outcome};
 use rand::RngExt;
@@ -128,7 +128,7 @@
                         if client.phase == Phase::Stands && client.server == server {
                             // The next message of this client goes out within two seconds.
                             let (serial, wait) = (client.serial, self.between(c, (0.0, 2e6)));
-                            self.at(now + wait + SILENT, Ev::Silent((c, serial)));
+                            self.at(now + wait + SILENCE_TIMEOUT, Ev::Silent((c, serial)));
                         }
                     }
                 }
--- a/lab/src/virt/requests.rs
+++ b/lab/src/virt/requests.rs
@@ -5,7 +5,7 @@
 use crate::model::server::{Came, Job};
 use crate::scenario::plan::{CHANGE, SWING};
 use crate::score::record::{Attempt, What};
-use oakdeal::broker::SILENT;
+use oakdeal::broker::SILENCE_TIMEOUT;
 use oakdeal::{Demand, Event, Outcome};
 
 impl World<'_> {
@@ -146,7 +146,7 @@
                 // It fell silent or died while the answer was on its way.
                 let (dead, wait) = (!self.hosts[server].up, self.between(c, (0.0, 2e6)));
                 let ev = if dead { Ev::Broken(job, false) } else { Ev::Silent(job) };
-                self.at(self.now + if dead { 500 } else { wait + SILENT }, ev);
+                self.at(self.now + if dead { 500 } else { wait + SILENCE_TIMEOUT }, ev);
             }
             return;
         }
--- a/src/broker/command.rs
+++ b/src/broker/command.rs
@@ -1,7 +1,7 @@
 //! A command's life, from its arrival to its final answer and on to the end of its connection.
 
 use super::figures::{End, Tally};
-use super::front::{Client, Dialer, Ended, Execution, Failure, Gone};
+use super::front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
 use super::{Broker, Descriptors, Refused, Word, ANSWER_AHEAD, CONNECTION};
 use crate::api::*;
 use std::rc::Rc;
@@ -14,17 +14,22 @@
 const OPENING: Micros = 50_000;
 /// A connection on which an instance brings nothing back for a message is ended after this long: it may have
 /// stopped up to two seconds before the message, and is owed its end within seven.
-pub const SILENT: Micros = 4_500_000;
+pub const SILENCE_TIMEOUT: Micros = 4_500_000;
 /// And sooner where the instance works, for others heard of it meanwhile: then this connection alone has stopped.
 const ALONE: Micros = 3_000_000;
 
 /// A command's life, from its arrival to its final answer and on to the end of its connection.
-pub async fn carry<C, D>(broker: &Rc<Broker>, demand: Demand, team: Option<&str>, client: &mut C, dialer: &D)
-where
+pub async fn run_command<C, D>(
+    broker: &Rc<Broker>,
+    demand: Demand,
+    team: Option<&str>,
+    client: &mut C,
+    dialer: &D,
+) where
     C: Client,
     D: Dialer<Link = C::Link>,
 {
-    let tally = broker.tally(demand.class);
+    let tally = broker.count_command(demand.class);
     let mut command = match broker.take(demand, team) {
         Ok(command) => command,
         Err(Refused(after)) => {
@@ -36,7 +41,7 @@
         // The module's next word: it may be waiting for a probe.
         let word = tokio::select! {
             biased;
-            gone = client.gone() => return command.gone(gone, client).await,
+            gone = client.wait_gone() => return command.gone(gone, client).await,
             word = command.word() => word,
         };
         let (instance, patience) = match word {
@@ -56,9 +61,9 @@
             biased;
             // Looked at before the connection is: whoever left in the turn in which it came up is not sent on.
             // Dropping `execute` closes the attempt before its end is told: never two outstanding.
-            gone = client.gone() => return command.gone(gone, client).await,
+            gone = client.wait_gone() => return command.gone(gone, client).await,
             came = dialer.execute(&execution) => came,
-            () = broker.until(execution.until) => Err(Outcome::Timeout),
+            () = broker.sleep_until(execution.deadline) => Err(Outcome::Timeout),
         };
         match came {
             Ok(link) => break link,
@@ -67,13 +72,13 @@
     };
     command.opened();
     tally.ends(End::Completed);
-    let ended = client.stand(link, &mut command).await;
+    let ended = client.relay(link, &mut command).await;
     command.ended(ended);
 }
 
 /// A connection that stood at this instance before the program started: it goes there and nowhere else, as
 /// often as it takes until the client's time is up.
-pub async fn carry_on<C, D>(
+pub async fn resume_connection<C, D>(
     broker: &Rc<Broker>,
     demand: Demand,
     team: Option<&str>,
@@ -84,8 +89,8 @@
     C: Client,
     D: Dialer<Link = C::Link>,
 {
-    let tally = broker.tally(demand.class);
-    let Some(_both) = broker.descriptors(CONNECTION) else {
+    let tally = broker.count_command(demand.class);
+    let Some(_both) = broker.reserve_descriptors(CONNECTION) else {
         tally.ends(End::Rejected);
         return client.nack(None).await;
     };
@@ -99,27 +104,27 @@
             match tried.await {
                 Some(link) => Some(link),
                 None => {
-                    broker.after(ADOPT_AGAIN).await;
+                    broker.sleep(ADOPT_AGAIN).await;
                     None
                 }
             }
         };
         tokio::select! {
             biased;
-            gone = client.gone() => return part(gone, client).await,
+            gone = client.wait_gone() => return part(gone, client).await,
             came = again => if let Some(link) = came { break link },
-            () = broker.until(until) => return client.fail(Failure::Deadline).await,
+            () = broker.sleep_until(until) => return client.fail(Failure::Deadline).await,
         }
     };
     tally.ends(End::Completed);
     let mut command = broker.adopt(demand, team, instance);
-    let ended = client.stand(link, &mut command).await;
+    let ended = client.relay(link, &mut command).await;
     command.ended(ended);
 }
 
-async fn part<C: Client>(gone: Gone, client: &mut C) {
-    if gone == Gone::OutOfTurn {
-        client.fail(Failure::OutOfTurn).await
+async fn part<C: Client>(gone: ClientGone, client: &mut C) {
+    if gone == ClientGone::UnexpectedInput {
+        client.fail(Failure::UnexpectedInput).await
     }
 }
 
@@ -156,7 +161,7 @@
         let word = tokio::select! {
             biased;
             word = self.heard.recv() => word,
-            () = self.broker.until(self.deadline) => {
+            () = self.broker.sleep_until(self.deadline) => {
                 self.late = true;
                 None
             }
@@ -218,12 +223,12 @@
         self.broker.state.borrow_mut().standing.push_back(self.id.clone());
     }
 
-    fn ended(&mut self, how: Ended) {
+    fn ended(&mut self, how: ConnectionEnd) {
         self.over = true;
         let outcome = match how {
-            Ended::Served => Outcome::Ok,
-            Ended::Broken => Outcome::Reset,
-            Ended::Left => Outcome::Cancelled,
+            ConnectionEnd::Served => Outcome::Ok,
+            ConnectionEnd::Broken => Outcome::Reset,
+            ConnectionEnd::Left => Outcome::Cancelled,
         };
         self.finish(outcome, true);
     }
@@ -236,13 +241,13 @@
     }
 
     /// The attempt's end is told before the service client is: never two outstanding.
-    async fn gone<C: Client>(mut self, gone: Gone, client: &mut C) {
+    async fn gone<C: Client>(mut self, gone: ClientGone, client: &mut C) {
         self.vanish();
         part(gone, client).await
     }
 
     /// Ends when the service client is to be asked to come again.
-    pub async fn moved(&mut self) {
+    pub async fn move_requested(&mut self) {
         loop {
             match self.heard.recv().await {
                 Some(Word::Move) => return,
@@ -254,7 +259,7 @@
 
     /// A figure that its instance tells on the connection: the load of this one, or, where the settings say so
     /// and it looks like one, how long messages take there. A load is told once when the connection opens.
-    pub fn told(&mut self, figure: f64) {
+    pub fn report_load(&mut self, figure: f64) {
         let Some((host, since)) = self.out else { return };
         let now = self.broker.now();
         // Among few balancers others tell of the instance too, and one idle connection must not speak for it.
@@ -273,29 +278,29 @@
 
     /// A message has been out for so long; whether its connection is to be ended for it. Unless others hear of
     /// the instance meanwhile, the module is told, once a second and instance.
-    pub fn silent(&self, span: Micros) -> bool {
+    pub fn report_silence(&self, span: Micros) -> bool {
         let Some((host, _)) = self.out else { return true };
         let now = self.broker.now();
         {
             let mut state = self.broker.state.borrow_mut();
-            let Some(instance) = state.instances.get_mut(host) else { return span >= SILENT };
+            let Some(instance) = state.instances.get_mut(host) else { return span >= SILENCE_TIMEOUT };
             if instance.heard > now.saturating_sub(span) {
                 // It works: what is wrong is with this connection, and no reason to leave the instance.
                 return span >= ALONE;
             }
             if span < SLOW_EVERY || instance.slow.is_some_and(|told| now < told.saturating_add(SLOW_EVERY)) {
-                return span >= SILENT;
+                return span >= SILENCE_TIMEOUT;
             }
             instance.slow = Some(now);
         }
         self.broker.tell(Event::DelayNote { host, delay: span });
-        span >= SILENT
+        span >= SILENCE_TIMEOUT
     }
 
     /// A message came back after so long. The module hears of it where it has heard of silence. How long it
     /// took says nothing else: an instance returns it at once however much work is piled up there, and what we
     /// see are delays of our own.
-    pub fn heard(&self, span: Micros) {
+    pub fn report_returned_message(&self, span: Micros) {
         let Some((host, _)) = self.out else { return };
         {
             let mut state = self.broker.state.borrow_mut();
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -394,9 +394,10 @@
                 rebalance.pause(now, "contracts move connections");
             }
             let policy = &self.policy;
-            let moves =
-                rebalance
-                .plan_moves(now, || View { hosts: policy.hosts(now), strays: policy.misplaced_connections() });
+            let moves = rebalance.plan_moves(now, || View {
+                hosts: policy.hosts(now),
+                strays: policy.misplaced_connections(),
+            });
             actions.extend(moves.into_iter().map(|call| Action::Move { call }));
         }
     }
--- a/src/broker/front.rs
+++ b/src/broker/front.rs
@@ -14,21 +14,21 @@
     /// No answer came before the service client's deadline.
     Deadline,
     /// The service client spoke before it had its answer.
-    OutOfTurn,
+    UnexpectedInput,
 }
 
 /// Why a command is over before its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum ClientGone {
     /// The service client has left.
     Left,
     /// It broke the protocol, and is owed a failure.
-    OutOfTurn,
+    UnexpectedInput,
 }
 
 /// How a standing connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ConnectionEnd {
     /// The instance has served it to its end.
     Served,
     /// The instance broke it.
@@ -46,7 +46,7 @@
     /// Where it is reached.
     pub address: SocketAddr,
     /// When it is given up.
-    pub until: Micros,
+    pub deadline: Micros,
     pub(super) call: CallId,
     pub(super) tally: Rc<Tally>,
     pub(super) broker: Rc<Broker>,
@@ -55,20 +55,20 @@
 impl Execution {
     /// Whether it may be sent still: to be asked right before the first byte, since the instance may have begun to drain
     /// while the connection was made, or the window of a repeat may have closed.
-    pub fn still_open(&self) -> bool {
+    pub fn may_send(&self) -> bool {
         let state = self.broker.state.borrow();
         let allowed = state.core.may_still(self.broker.now(), &self.call, self.instance);
         allowed && state.instances.takes(self.instance)
     }
 
     /// Its first words were written whole: from now on it may run.
-    pub fn written(&self) {
+    pub fn record_sent(&self) {
         self.tally.attempt();
     }
 
     /// What is left of its time.
-    pub fn left(&self) -> Micros {
-        self.until.saturating_sub(self.broker.now())
+    pub fn remaining(&self) -> Micros {
+        self.deadline.saturating_sub(self.broker.now())
     }
 }
 
@@ -87,9 +87,9 @@
     /// An open connection to an instance that has accepted.
     type Link;
     /// Ends when the service client has left, or has lost its claim to be served.
-    async fn gone(&mut self) -> Gone;
+    async fn wait_gone(&mut self) -> ClientGone;
     /// Passes everything on, both ways, until the connection ends.
-    async fn stand(&mut self, link: Self::Link, command: &mut Command) -> Ended;
+    async fn relay(&mut self, link: Self::Link, command: &mut Command) -> ConnectionEnd;
     /// Final answer: refused; come again after so long.
     async fn nack(&mut self, after: Option<Micros>);
     /// Final answer: failed.
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,5 +1,5 @@
 //! The core: owns the decision module and carries out what it says. It knows no bytes; the fronts see
-//! [`carry`], [`Client`], [`Dialer`] and [`Command`].
+//! [`run_command`], [`Client`], [`Dialer`] and [`Command`].
 //!
 //! The shop's words: a *command* is a request, an *execution* one attempt at it, an *instance* a session
 //! server, a *nack* a refusal, the *service client* whoever asks.
@@ -23,12 +23,12 @@
 use crate::failover::plan::Plan;
 use crate::rebalance::PlanEvent;
 use crate::wire::Names;
-pub use command::{carry, carry_on, Command, SILENT};
+pub use command::{resume_connection, run_command, Command, SILENCE_TIMEOUT};
 use core::Core;
 use deadlines::{Clock, Deadlines, Wait};
 use drain::Drain;
 use figures::{Figures, Members, Tally};
-pub use front::{Client, Dialer, Ended, Execution, Failure, Gone};
+pub use front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
 use handover::Stand;
 use instances::{Instances, Listing};
 use std::cell::{Cell, RefCell};
@@ -44,13 +44,13 @@
 const ANSWER_AHEAD: Micros = 15_000;
 /// What the core asks of the network beside executions.
 #[derive(Debug)]
-pub enum Order {
+pub enum NetworkRequest {
     /// Probe an instance and say how it went with [`Broker::probed`].
     Probe(HostId, SocketAddr),
     /// Watch discovery from this version of the list on, and say so when the watch ends.
     Watch(u64),
     /// Discovery is at this address from now on.
-    Discovery(SocketAddr),
+    SetDiscoveryAddress(SocketAddr),
 }
 
 /// What the module, or the program's end, says to a command.
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
     /// It came with the configuration; its age is unknown.
-    Given,
+    Configured,
     /// Discovery has told all that had changed.
     Confirmed,
     /// The last call failed, or the watch has ended.
@@ -105,7 +105,7 @@
     sooner: Notify,
     connect_timeout: Micros,
     must_ask_in: Option<Micros>,
-    orders: UnboundedSender<Order>,
+    orders: UnboundedSender<NetworkRequest>,
     descriptors: Cell<usize>,
     drain: RefCell<Drain>,
     figures: Rc<Figures>,
@@ -122,7 +122,7 @@
         names: Names,
         seed: u64,
         descriptors: usize,
-    ) -> Result<(Rc<Broker>, UnboundedReceiver<Order>), SettingsError> {
+    ) -> Result<(Rc<Broker>, UnboundedReceiver<NetworkRequest>), SettingsError> {
         let ((orders, ordered), classes) = (unbounded_channel(), settings.classes.len());
         let broker = Broker {
             delays_told: settings.message_delays_reported,
@@ -143,7 +143,7 @@
             drain: RefCell::default(),
             figures: Figures::new(classes),
             drains: Notify::new(),
-            list_state: watch::Sender::new(ListState::Given),
+            list_state: watch::Sender::new(ListState::Configured),
         };
         Ok((Rc::new(broker), ordered))
     }
@@ -154,13 +154,13 @@
     }
 
     /// Ends at that time.
-    pub fn until(&self, at: Micros) -> Wait {
+    pub fn sleep_until(&self, at: Micros) -> Wait {
         self.deadlines.until(at)
     }
 
     /// Ends after that long.
-    pub fn after(&self, span: Micros) -> Wait {
-        self.until(self.now().saturating_add(span))
+    pub fn sleep(&self, span: Micros) -> Wait {
+        self.sleep_until(self.now().saturating_add(span))
     }
 
     /// Names of classes, tenants and zones.
@@ -169,7 +169,7 @@
     }
 
     /// How long the list may go unasked for.
-    pub fn must_ask_in(&self) -> Micros {
+    pub fn max_poll_interval(&self) -> Micros {
         self.must_ask_in.unwrap_or(Micros::MAX)
     }
 
@@ -184,25 +184,25 @@
     }
 
     /// The longest that any service client waits.
-    pub fn longest(&self) -> Micros {
+    pub fn max_deadline(&self) -> Micros {
         self.longest
     }
 
     /// Takes descriptors out of the budget until the guard is dropped; none where too few are left.
-    pub fn descriptors(self: &Rc<Self>, n: usize) -> Option<Descriptors> {
+    pub fn reserve_descriptors(self: &Rc<Self>, n: usize) -> Option<Descriptors> {
         self.descriptors.set(self.descriptors.get().checked_sub(n)?);
         Some(Descriptors(self.clone(), n))
     }
 
     /// Sweeps the deadlines for ever.
-    pub async fn sweep(&self) {
+    pub async fn run_deadlines(&self) {
         self.deadlines.sweep(self.clock, |token| self.tell(Event::Timer { token })).await
     }
 
     /// Discovery is at this address from now on.
-    pub fn discovery_at(&self, address: SocketAddr) {
+    pub fn set_discovery_address(&self, address: SocketAddr) {
         // Cannot fail while the program runs: main holds the other end.
-        let _ = self.orders.send(Order::Discovery(address));
+        let _ = self.orders.send(NetworkRequest::SetDiscoveryAddress(address));
     }
 
     /// Version of the list held.
@@ -211,17 +211,17 @@
     }
 
     /// Whether changes of the list count as told without our asking.
-    pub fn pushed(&self) -> bool {
+    pub fn list_is_pushed(&self) -> bool {
         self.pushed
     }
 
     /// News of the list.
-    pub fn listed(&self, kind: ListKind, listing: Listing) {
+    pub fn update_list(&self, kind: ListKind, listing: Listing) {
         let hosts = self.state.borrow_mut().instances.news(kind, listing, &self.names);
         self.tell(Event::Members { kind, hosts });
         if kind == ListKind::Cached && self.pushed {
             // The module asks where it has to. Here nobody has to, but on sockets news comes by the watch alone.
-            let _ = self.orders.send(Order::Watch(self.list_version()));
+            let _ = self.orders.send(NetworkRequest::Watch(self.list_version()));
         }
     }
 
@@ -238,16 +238,16 @@
     /// The watch could not be had, or has ended.
     pub fn watch_ended(&self) {
         self.list_state.send_replace(ListState::Unreachable);
-        self.no_list();
+        self.list_unavailable();
     }
 
     /// There is no list, or no watch: the module asks.
-    pub fn no_list(&self) {
+    pub fn list_unavailable(&self) {
         self.tell(Event::Members { kind: ListKind::Failed, hosts: Vec::new() });
     }
 
     /// How a probe went.
-    pub fn probed(&self, host: HostId, outcome: Outcome, load: Option<f64>) {
+    pub fn record_probe(&self, host: HostId, outcome: Outcome, load: Option<f64>) {
         self.tell(Event::Probed { host, outcome, load });
     }
 
@@ -287,12 +287,12 @@
                 Action::Probe { host } => {
                     if let Some(instance) = state.instances.get(host) {
                         // Cannot fail while the program runs: main holds the other end.
-                        let _ = self.orders.send(Order::Probe(host, instance.address));
+                        let _ = self.orders.send(NetworkRequest::Probe(host, instance.address));
                     }
                     continue;
                 }
                 Action::Watch => {
-                    let _ = self.orders.send(Order::Watch(state.instances.index));
+                    let _ = self.orders.send(NetworkRequest::Watch(state.instances.index));
                     continue;
                 }
             };
@@ -323,7 +323,7 @@
     }
 
     /// Whether this id is in hand already.
-    pub fn knows(&self, call: &str) -> bool {
+    pub fn has_command(&self, call: &str) -> bool {
         self.state.borrow().commands.contains_key(call)
     }
 
@@ -342,7 +342,7 @@
             return Err(Refused(no.after));
         }
         // Counted before it is placed: one that cannot have its link must not fail at its instance.
-        let Some(both) = self.descriptors(CONNECTION) else {
+        let Some(both) = self.reserve_descriptors(CONNECTION) else {
             tracing::warn!("the descriptors are used up: a command was turned away");
             self.state.borrow_mut().core.withdraw(self.now(), &demand.call);
             return Err(Refused(None));
@@ -370,7 +370,7 @@
     }
 
     /// Does what is due without an event, for ever.
-    pub async fn keep_contracts(self: &Rc<Self>) -> ! {
+    pub async fn run_scheduled_work(self: &Rc<Self>) -> ! {
         loop {
             {
                 let (mut actions, state) = (Vec::new(), &mut *self.state.borrow_mut());
@@ -388,14 +388,14 @@
                 self.turn_at.set(state.core.due(self.now()).unwrap_or(Micros::MAX));
             }
             tokio::select! {
-                () = self.until(self.turn_at.get().max(self.now() + TURN)) => {}
+                () = self.sleep_until(self.turn_at.get().max(self.now() + TURN)) => {}
                 () = self.sooner.notified() => {}
             }
         }
     }
 
     /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
-    pub fn contract(&self, terms: Option<Terms>) -> Vec<TermsChange> {
+    pub fn set_contracts(&self, terms: Option<Terms>) -> Vec<TermsChange> {
         let state = &mut *self.state.borrow_mut();
         let changes = state.core.contract(self.now(), terms);
         self.look(state);
@@ -403,19 +403,19 @@
     }
 
     /// Slow rebalancing by these terms from now on, or none.
-    pub fn rebalance(&self, terms: Option<crate::rebalance::RebalanceSettings>) {
+    pub fn set_rebalance(&self, terms: Option<crate::rebalance::RebalanceSettings>) {
         let state = &mut *self.state.borrow_mut();
         state.core.rebalance(self.now(), terms);
         self.look(state);
     }
 
     /// Zones by the fleet's plan from now on.
-    pub fn zones(&self, terms: crate::failover::FailoverSettings, context: zones::BalancerContext) {
+    pub fn enable_zones(&self, terms: crate::failover::FailoverSettings, context: zones::BalancerContext) {
         self.state.borrow_mut().core.zones(terms, context);
     }
 
     /// The fleet's plan as the record has it: whoever it has elsewhere is asked to move, at the fleet's pace.
-    pub fn follow(&self, plan: Option<&Plan>) {
+    pub fn follow_plan(&self, plan: Option<&Plan>) {
         let state = &mut *self.state.borrow_mut();
         let (moves, changed) = state.core.follow(self.now(), plan);
         match changed {
@@ -448,7 +448,7 @@
     }
 
     /// Books a command of a class until this is dropped: one that is given no end by then has failed.
-    pub fn tally(&self, class: usize) -> Rc<Tally> {
+    pub fn count_command(&self, class: usize) -> Rc<Tally> {
         Rc::new(self.figures.taken(class))
     }
 
@@ -468,55 +468,55 @@
         let state = self.state.borrow();
         let (name, address) = state.instances.get(instance).map(|i| (i.name.clone(), i.address))?;
         let (call, tally) = (call.clone(), tally.clone());
-        Some(Execution { instance, name, address, until, call, tally, broker: self.clone() })
+        Some(Execution { instance, name, address, deadline: until, call, tally, broker: self.clone() })
     }
 
     /// Whether the front is told to send clients.
-    pub fn invites(&self) -> bool {
+    pub fn accepts_new_clients(&self) -> bool {
         self.drain.borrow().invites()
     }
 
     /// What stands here, for the process after this one.
-    pub fn stands(&self) -> Vec<Stand> {
+    pub fn established_connections(&self) -> Vec<Stand> {
         self.state.borrow().core.stands(self.now())
     }
 
     /// What stands at the process before this one.
-    pub fn inherit(&self, stands: Vec<Stand>) {
+    pub fn inherit_connections(&self, stands: Vec<Stand>) {
         let state = &mut *self.state.borrow_mut();
         state.core.inherit(self.now(), stands);
         self.look(state);
     }
 
     /// The process before this one has ended.
-    pub fn alone(&self) {
+    pub fn predecessor_ended(&self) {
         self.state.borrow_mut().core.alone(self.now());
     }
 
     /// Clients are taken from now on.
-    pub fn begin(&self) {
+    pub fn start_serving(&self) {
         self.drain.borrow_mut().begin();
     }
 
     /// Whether the program is to end.
-    pub fn leaving(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.drain.borrow().leaves()
     }
 
     /// The program is to end: every service client is asked to come again between these times.
-    pub fn leave(&self, from: Micros, end: Micros) {
+    pub fn shut_down(&self, from: Micros, end: Micros) {
         self.drain.borrow_mut().leave(from, end);
         self.drains.notify_one();
     }
 
     /// Asks service clients to come again while this balancer drains or leaves, for ever. Rebalancing rests
     /// meanwhile: one cause of moves at a time.
-    pub async fn keep_drain(&self) -> ! {
+    pub async fn run_drain(&self) -> ! {
         loop {
             if !self.drain.borrow().empties() {
                 self.drains.notified().await;
             }
-            self.after(TURN).await;
+            self.sleep(TURN).await;
             let state = &mut *self.state.borrow_mut();
             state.core.rests(self.now(), "the balancer drains");
             let moves = self.drain.borrow_mut().moves(self.now(), state.standing.len());
@@ -529,7 +529,7 @@
     }
 
     /// How many commands are in hand or stand.
-    pub fn in_hand(&self) -> usize {
+    pub fn active_commands(&self) -> usize {
         self.state.borrow().commands.len()
     }
 }
--- a/src/broker/operations.rs
+++ b/src/broker/operations.rs
@@ -27,7 +27,7 @@
     /// Takes it out: new clients are not wanted, and those that stand are asked to come again.
     pub fn leave(&self) {
         if self.0.drain.borrow_mut().drain(self.0.now()) {
-            tracing::info!("draining: {} connections are asked to come again", self.0.in_hand());
+            tracing::info!("draining: {} connections are asked to come again", self.0.active_commands());
             self.0.drains.notify_one();
         }
     }
@@ -35,7 +35,7 @@
     /// Takes it back to work; not once the program is to end.
     pub fn join(&self) -> Result<(), Leaving> {
         if self.0.drain.borrow_mut().join()? {
-            tracing::info!("back to work with {} connections in hand", self.0.in_hand());
+            tracing::info!("back to work with {} connections in hand", self.0.active_commands());
         }
         Ok(())
     }
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -55,7 +55,8 @@
             let peers =
                 Peers::new(me, addresses, SECOND, MAX_MESSAGE_BYTES - MAX_GOSSIP_HEADER_BYTES, i as u64);
             let voter = names.get(i).map(|name| {
-                Voter::new(0, name, &names, TERMS, DiscardStorage, StoredVoter::for_new_group(name, &names)).unwrap()
+                Voter::new(0, name, &names, TERMS, DiscardStorage, StoredVoter::for_new_group(name, &names))
+                    .unwrap()
             });
             let tasks = if i < wants { vec!["rebalance".into(), ACCOUNT_TASK.into()] } else { Vec::new() };
             let task_settings = TaskSettings { tasks, max_hold: 60 * SECOND, account_interval: 2 * SECOND };
--- a/src/group/record.rs
+++ b/src/group/record.rs
@@ -207,7 +207,10 @@
                     self.plan.as_ref().map_or((0, 0), |plan| (plan.serial, plan.renewals));
                 let next = (plan.serial, plan.renewals) == (serial + 1, 0);
                 let again = self.plan.is_some() && (plan.serial, plan.renewals) == (serial, renewed + 1);
-                if !next && !again || plan.zones.len() > MAX_ZONES || self.current_lease(task, *token).is_none() {
+                if !next && !again
+                    || plan.zones.len() > MAX_ZONES
+                    || self.current_lease(task, *token).is_none()
+                {
                     return Outcome::Stale;
                 }
                 self.plan = Some(plan.clone());
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -291,7 +291,7 @@
             self.send_messages();
             self.process_events(&broker);
             if self.digest_interval.is_some() {
-                broker.follow(self.member.record().plan.as_ref());
+                broker.follow_plan(self.member.record().plan.as_ref());
             }
             if now >= last_status + STATUS_INTERVAL {
                 last_status = now;
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -174,7 +174,7 @@
     };
     tokio::select! {
         () = written => {}
-        () = door.lobby.broker().after(PATIENCE) => {}
+        () = door.lobby.broker().sleep(PATIENCE) => {}
     }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -98,7 +98,7 @@
                 let index = listing.index;
                 self.heard.set(self.moves.get());
                 self.older.borrow_mut().drain(..).for_each(|old| old.abort());
-                broker.listed(ListKind::Full, listing);
+                broker.update_list(ListKind::Full, listing);
                 broker.list_confirmed();
                 index
             }
@@ -143,7 +143,7 @@
             return tracing::warn!("discovery: version {index} of the list came after {newest}: passed over");
         }
         let kind = if listing.snapshot { ListKind::Full } else { ListKind::Changes };
-        self.broker.listed(kind, listing);
+        self.broker.update_list(kind, listing);
     }
 }
 
@@ -177,7 +177,7 @@
     };
     let answer = tokio::select! {
         answer = call => answer?,
-        () = broker.after(CALL.min(broker.must_ask_in() / 2)) => return Err("no answer in time".into()),
+        () = broker.sleep(CALL.min(broker.max_poll_interval() / 2)) => return Err("no answer in time".into()),
     };
     match answer.status() {
         StatusCode::OK => Ok(answer.into_body()),
@@ -189,7 +189,7 @@
 async fn next(broker: &Rc<Broker>, body: &mut Incoming) -> Result<Option<Bytes>, String> {
     let frame = tokio::select! {
         frame = body.frame() => frame,
-        () = broker.after(SILENT) => return Err(SILENCE.into()),
+        () = broker.sleep(SILENT) => return Err(SILENCE.into()),
     };
     match frame {
         Some(frame) => Ok(Some(frame.map_err(text)?.into_data().unwrap_or_default())),
--- a/src/net/inherited.rs
+++ b/src/net/inherited.rs
@@ -97,13 +97,13 @@
 
     /// The next connection. Where the queue is shared and this process leaves, only one that nobody else takes.
     pub async fn accept(&self, broker: &Rc<Broker>) -> io::Result<(TcpStream, SocketAddr)> {
-        while self.shared && broker.leaving() {
+        while self.shared && broker.is_shutting_down() {
             tokio::select! {
                 biased;
                 came = self.socket.accept() => return came,
                 () = std::future::ready(()) => {}
             }
-            broker.after(UNTAKEN).await;
+            broker.sleep(UNTAKEN).await;
         }
         self.socket.accept().await
     }
--- a/src/net/links.rs
+++ b/src/net/links.rs
@@ -55,7 +55,7 @@
 pub async fn connect(broker: &Rc<Broker>, address: SocketAddr) -> Result<Link, Outcome> {
     let stream = tokio::select! {
         came = TcpStream::connect(address) => came.map_err(|_| Outcome::ConnectFailed)?,
-        () = broker.after(broker.connect_timeout()) => return Err(Outcome::ConnectFailed),
+        () = broker.sleep(broker.connect_timeout()) => return Err(Outcome::ConnectFailed),
     };
     let _ = stream.set_nodelay(true);
     Ok(Link::new(stream))
@@ -70,13 +70,13 @@
 ) -> Result<Link, Outcome> {
     let mut link = connect(broker, address).await?;
     // Discovery may have spoken while the connection was made: nothing new to what drains.
-    if !execution.still_open() {
+    if !execution.may_send() {
         return Err(Outcome::Moot);
     }
     let line = first();
     // It breaks before the line's last byte is written: it never ran.
     link.write(line.as_bytes()).await.map_err(|_| Outcome::ConnectFailed)?;
-    execution.written();
+    execution.record_sent();
     let n = match link.line().await {
         Ok(n) => n,
         Err(e) if e.kind() == io::ErrorKind::InvalidData => {
@@ -102,7 +102,7 @@
 
 /// One probe, on a connection of its own.
 pub async fn probe(broker: Rc<Broker>, host: HostId, address: SocketAddr) {
-    let Some(_guard) = broker.descriptors(1) else { return };
+    let Some(_guard) = broker.reserve_descriptors(1) else { return };
     let asked = async {
         let mut link = connect(&broker, address).await?;
         link.write(b"PING\r\n").await.map_err(|_| Outcome::ConnectFailed)?;
@@ -115,9 +115,9 @@
     // The module has a time of its own for probes; this one only ends those that nobody waits for.
     let came = tokio::select! {
         came = asked => came,
-        () = broker.after(PROBE) => Err(Outcome::Timeout),
+        () = broker.sleep(PROBE) => Err(Outcome::Timeout),
     };
-    broker.probed(host, came.err().unwrap_or(Outcome::Ok), None);
+    broker.record_probe(host, came.err().unwrap_or(Outcome::Ok), None);
 }
 
 /// After this nobody waits for a probe.
--- a/src/net/lobby.rs
+++ b/src/net/lobby.rs
@@ -88,7 +88,7 @@
     /// Ends at that time, or when the seat is wanted.
     pub async fn over(&self, at: Micros) -> Over {
         tokio::select! {
-            () = self.lobby.broker.until(at) => Over::Late,
+            () = self.lobby.broker.sleep_until(at) => Over::Late,
             () = self.called.notified() => Over::Wanted,
         }
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -10,7 +10,7 @@
 pub mod relay;
 pub mod xmpp;
 
-use crate::broker::{Broker, Order};
+use crate::broker::{Broker, NetworkRequest};
 use discovery::Watcher;
 use inherited::Listener;
 use std::cell::{Cell, RefCell};
@@ -23,20 +23,24 @@
 use tokio::task::{spawn_local, JoinHandle};
 
 /// Does what the core asks of the network, for ever.
-pub async fn orders(broker: Rc<Broker>, mut ordered: UnboundedReceiver<Order>, discovery: SocketAddr) {
+pub async fn orders(
+    broker: Rc<Broker>,
+    mut ordered: UnboundedReceiver<NetworkRequest>,
+    discovery: SocketAddr,
+) {
     let probes: RefCell<BTreeMap<u32, JoinHandle<()>>> = RefCell::default();
     let watcher = Watcher::new(broker.clone(), discovery);
     while let Some(order) = ordered.recv().await {
         match order {
-            Order::Probe(host, address) => {
+            NetworkRequest::Probe(host, address) => {
                 // One probe an instance: an answer that comes after its time must not count for the next.
                 let probe = spawn_local(links::probe(broker.clone(), host, address));
                 if let Some(old) = probes.borrow_mut().insert(host, probe) {
                     old.abort();
                 }
             }
-            Order::Watch(from) => watcher.watch(from),
-            Order::Discovery(address) => watcher.moved(address),
+            NetworkRequest::Watch(from) => watcher.watch(from),
+            NetworkRequest::SetDiscoveryAddress(address) => watcher.moved(address),
         }
     }
 }
@@ -77,7 +81,7 @@
                 if !std::mem::replace(&mut failing, true) {
                     tracing::error!("{what}: cannot accept connections: {e}; trying again");
                 }
-                broker.after(20_000).await;
+                broker.sleep(20_000).await;
             }
         }
     }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -7,7 +7,10 @@
 use crate::api::{Demand, Micros, Outcome};
 use crate::broker::figures::End;
 use crate::broker::instances::number;
-use crate::broker::{carry, carry_on, Broker, Client, Command, Dialer, Ended, Execution, Failure, Gone};
+use crate::broker::{
+    resume_connection, run_command, Broker, Client, ClientGone, Command, ConnectionEnd, Dialer, Execution,
+    Failure,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -147,7 +150,7 @@
                 _ => First::Bad("ERR out of turn".into()),
             };
         }
-        let answer: &[u8] = if peer.broker.invites() { b"PONG\r\n" } else { b"NO\r\n" };
+        let answer: &[u8] = if peer.broker.accepts_new_clients() { b"PONG\r\n" } else { b"NO\r\n" };
         if peer.link.write(answer).await.is_err() {
             return First::Nothing;
         }
@@ -180,14 +183,14 @@
     let read = Open::parse(line).and_then(|open| Ok((open.demand(&broker)?, open)));
     let (demand, open) = read.map_err(|why| format!("ERR first line {why}"))?;
     // The module books by id: a second one under the same would answer for the first.
-    if broker.knows(&demand.call.0) {
-        broker.tally(demand.class).ends(End::Failed);
+    if broker.has_command(&demand.call.0) {
+        broker.count_command(demand.class).ends(End::Failed);
         return Err("ERR id in use".into());
     }
     let dialer = Lines { open: &open, broker: &broker };
     match open.get("at") {
-        Some(at) => carry_on(&broker, demand, open.get("t"), number(at), peer, &dialer).await,
-        None => carry(&broker, demand, open.get("t"), peer, &dialer).await,
+        Some(at) => resume_connection(&broker, demand, open.get("t"), number(at), peer, &dialer).await,
+        None => run_command(&broker, demand, open.get("t"), peer, &dialer).await,
     }
     Ok(())
 }
@@ -202,7 +205,7 @@
     type Link = Link;
 
     async fn execute(&self, execution: &Execution) -> Result<Link, Outcome> {
-        let line = || self.open.line((execution.left() / 1000).max(1));
+        let line = || self.open.line((execution.remaining() / 1000).max(1));
         links::place(self.broker, execution, execution.address, line).await
     }
 }
@@ -219,7 +222,7 @@
         let line = format!("{line}\r\n");
         tokio::select! {
             _ = self.link.write(line.as_bytes()) => {}
-            () = self.broker.after(LINGER) => {}
+            () = self.broker.sleep(LINGER) => {}
         }
     }
 }
@@ -227,14 +230,14 @@
 impl Client for Peer {
     type Link = Link;
 
-    async fn gone(&mut self) -> Gone {
+    async fn wait_gone(&mut self) -> ClientGone {
         match self.link.buffer.filled(&self.link.stream, LINE).await {
-            Ok(n) if n > 0 => Gone::OutOfTurn,
-            _ => Gone::Left,
+            Ok(n) if n > 0 => ClientGone::UnexpectedInput,
+            _ => ClientGone::Left,
         }
     }
 
-    async fn stand(&mut self, link: Link, command: &mut Command) -> Ended {
+    async fn relay(&mut self, link: Link, command: &mut Command) -> ConnectionEnd {
         relay::lines(&mut self.link, link, command).await
     }
 
@@ -249,7 +252,7 @@
         match why {
             Failure::GivenUp => self.answer("ERR not served").await,
             Failure::Deadline => self.answer("ERR not served in time").await,
-            Failure::OutOfTurn => self.answer("ERR out of turn").await,
+            Failure::UnexpectedInput => self.answer("ERR out of turn").await,
         }
     }
 }
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -5,7 +5,7 @@
 use super::links::Link;
 use super::lobby::Lobby;
 use crate::api::Micros;
-use crate::broker::{Broker, Command, Ended, SILENT};
+use crate::broker::{Broker, Command, ConnectionEnd, SILENCE_TIMEOUT};
 use std::collections::VecDeque;
 use std::io;
 use std::rc::Rc;
@@ -97,7 +97,7 @@
 struct Watched {
     /// When the lines went up that nothing has come back for.
     asked: VecDeque<Micros>,
-    last: Option<Ended>,
+    last: Option<ConnectionEnd>,
 }
 
 impl Watched {
@@ -109,14 +109,14 @@
                 let load =
                     words.next().and_then(|x| std::str::from_utf8(x).ok()).and_then(|x| x.parse().ok());
                 if let Some(load) = load {
-                    command.told(load);
+                    command.report_load(load);
                 }
             }
-            b"BYE" => self.last = Some(Ended::Served),
-            b"MOVE" => self.last = Some(Ended::Left),
+            b"BYE" => self.last = Some(ConnectionEnd::Served),
+            b"MOVE" => self.last = Some(ConnectionEnd::Left),
             _ => {
                 if let Some(since) = self.asked.pop_front() {
-                    command.heard(now.saturating_sub(since));
+                    command.report_returned_message(now.saturating_sub(since));
                 }
             }
         }
@@ -159,7 +159,7 @@
 }
 
 /// Passes lines on until the connection ends; the caller closes the client's side.
-pub async fn lines(client: &mut Link, mut instance: Link, command: &mut Command) -> Ended {
+pub async fn lines(client: &mut Link, mut instance: Link, command: &mut Command) -> ConnectionEnd {
     let broker = command.broker().clone();
     let (mut up, mut down, mut watched) = (Way::default(), Way::default(), Watched::default());
     // The instance's `UP` stands in its buffer, and what the client wrote early in its own.
@@ -169,7 +169,7 @@
         up.scan(client, &mut |_| asked.push_back(now))
     }) {
         tracing::warn!("a connection was ended: {e}");
-        return Ended::Left;
+        return ConnectionEnd::Left;
     }
     // When something last came, and when a message that is out was last looked at.
     let (mut moved, mut looked) = (now, now);
@@ -184,24 +184,24 @@
         // While something is asked, each second; else only a client that has ended its sending is not waited
         // for without end: it may be gone, but as long as its instance sends it is served.
         let wait = match (oldest, up.ended) {
-            (Some(since), _) => broker.until((looked.max(since) + OUT).min(since + SILENT)),
-            (None, true) => broker.until(moved + SILENT),
-            (None, false) => broker.until(Micros::MAX),
+            (Some(since), _) => broker.sleep_until((looked.max(since) + OUT).min(since + SILENCE_TIMEOUT)),
+            (None, true) => broker.sleep_until(moved + SILENCE_TIMEOUT),
+            (None, false) => broker.sleep_until(Micros::MAX),
         };
         tokio::select! {
             biased;
-            () = command.moved() => return farewell(&broker, client, &mut down, &mut instance).await,
+            () = command.move_requested() => return farewell(&broker, client, &mut down, &mut instance).await,
             // An error shows again when the socket is used.
             _ = sides => {}
             () = wait => {
                 looked = broker.now();
                 match oldest {
-                    Some(since) if command.silent(looked - since) => {
+                    Some(since) if command.report_silence(looked - since) => {
                         tracing::info!("a connection brought nothing back for {} ms: moved", (looked - since) / 1000);
                         return farewell(&broker, client, &mut down, &mut instance).await;
                     }
                     Some(_) => {}
-                    None => return Ended::Left,
+                    None => return ConnectionEnd::Left,
                 }
                 continue;
             }
@@ -218,7 +218,7 @@
                 tracing::warn!("client: sent {e}; its connection is ended");
             }
             reset(&instance);
-            return Ended::Left;
+            return ConnectionEnd::Left;
         }
         let from_instance = down.read(&mut instance, |line| watched.line(line, now, command));
         let to_instance = up.write(client, &instance.stream);
@@ -230,14 +230,22 @@
             // Its last whole lines go to the client still, then the end, in the same way.
             flush(&broker, client, &mut down, &mut instance).await;
             reset(client);
-            return if up.ended { Ended::Left } else { watched.last.unwrap_or(Ended::Broken) };
+            return if up.ended {
+                ConnectionEnd::Left
+            } else {
+                watched.last.unwrap_or(ConnectionEnd::Broken)
+            };
         }
         if sent.is_err() {
             reset(&instance);
-            return Ended::Left;
+            return ConnectionEnd::Left;
         }
         if down.passed {
-            return if up.ended { Ended::Left } else { watched.last.unwrap_or(Ended::Broken) };
+            return if up.ended {
+                ConnectionEnd::Left
+            } else {
+                watched.last.unwrap_or(ConnectionEnd::Broken)
+            };
         }
     }
 }
@@ -255,18 +263,18 @@
     };
     tokio::select! {
         () = written => {}
-        () = broker.after(LINGER) => {}
+        () = broker.sleep(LINGER) => {}
     }
 }
 
 /// Asks the client to come again, between two whole lines.
-async fn farewell(broker: &Rc<Broker>, client: &Link, down: &mut Way, instance: &mut Link) -> Ended {
+async fn farewell(broker: &Rc<Broker>, client: &Link, down: &mut Way, instance: &mut Link) -> ConnectionEnd {
     flush(broker, client, down, instance).await;
     if !down.writes() {
         tokio::select! {
             _ = client.write(b"MOVE\r\n") => {}
-            () = broker.after(LINGER) => {}
+            () = broker.sleep(LINGER) => {}
         }
     }
-    Ended::Left
+    ConnectionEnd::Left
 }
--- a/src/net/xmpp/mod.rs
+++ b/src/net/xmpp/mod.rs
@@ -7,7 +7,9 @@
 use super::links;
 use super::lobby::{Lobby, Over, Seat, FIRST};
 use crate::api::{Demand, Micros, Outcome};
-use crate::broker::{carry, Broker, Client, Command, Dialer, Ended, Execution, Failure, Gone};
+use crate::broker::{
+    run_command, Broker, Client, ClientGone, Command, ConnectionEnd, Dialer, Execution, Failure,
+};
 use crate::config::{Grouping, Service, Xmpp};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -303,7 +305,7 @@
     let replay = Replay { front, login: &login };
     let mut desk = Desk { side, front: front.clone() };
     let team = service.team.as_deref().unwrap_or(&service.domain);
-    carry(broker, demand, Some(team), &mut desk, &replay).await;
+    run_command(broker, demand, Some(team), &mut desk, &replay).await;
 }
 
 /// The side that faces instances.
@@ -346,7 +348,7 @@
         let address = self.front.file.address(&execution.name, execution.address);
         let link = links::connect(&self.front.broker, address).await?;
         // Discovery may have spoken while the connection was made: nothing new to what drains.
-        if !execution.still_open() {
+        if !execution.may_send() {
             return Err(Outcome::Moot);
         }
         let mut side = self.front.side(link.stream);
@@ -362,11 +364,11 @@
             }
         }
         // And while its stream was opened: only with the log-in has it been sent anything.
-        if !execution.still_open() {
+        if !execution.may_send() {
             return Err(Outcome::Moot);
         }
         side.writer.write(&self.login.auth).await.map_err(|_| Outcome::Reset)?;
-        execution.written();
+        execution.record_sent();
         loop {
             let (unit, answer) = side.reader.unit().await.map_err(meaning)?;
             match unit {
@@ -410,19 +412,19 @@
 impl Client for Desk {
     type Link = Answered;
 
-    async fn gone(&mut self) -> Gone {
+    async fn wait_gone(&mut self) -> ClientGone {
         self.side.reader.gone().await;
-        Gone::Left
+        ClientGone::Left
     }
 
-    async fn stand(&mut self, link: Answered, command: &mut Command) -> Ended {
+    async fn relay(&mut self, link: Answered, command: &mut Command) -> ConnectionEnd {
         let Answered { side: mut instance, answer, welcome } = link;
         if !welcome {
             let words = String::from_utf8_lossy(&answer).into_owned() + CLOSE;
             let broker = &self.front.broker;
             instance.finish(broker, CLOSE, 0).await;
             self.side.finish(broker, &words, LINGER).await;
-            return Ended::Served;
+            return ConnectionEnd::Served;
         }
         self.side.reader.restart();
         self.side.writer.push(&answer);
@@ -437,7 +439,7 @@
         let text = match why {
             Failure::GivenUp => "no server could take this log-in",
             Failure::Deadline => "no server took this log-in in time",
-            Failure::OutOfTurn => "spoke out of turn",
+            Failure::UnexpectedInput => "spoke out of turn",
         };
         self.side.finish(&self.front.broker, &error("remote-connection-failed", text), LINGER).await;
     }
--- a/src/net/xmpp/relay.rs
+++ b/src/net/xmpp/relay.rs
@@ -2,7 +2,7 @@
 
 use super::stream::{error, Cut, Reader, Side, Unit, Writer, CLOSE, STREAMS};
 use super::{Front, LINGER};
-use crate::broker::{Broker, Command, Ended};
+use crate::broker::{Broker, Command, ConnectionEnd};
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
 
@@ -55,7 +55,12 @@
 }
 
 /// Passes stanzas on until the connection ends, and ends both sides in defined ways.
-pub async fn stanzas(front: &Front, client: &mut Side, instance: &mut Side, command: &mut Command) -> Ended {
+pub async fn stanzas(
+    front: &Front,
+    client: &mut Side,
+    instance: &mut Side,
+    command: &mut Command,
+) -> ConnectionEnd {
     let broker = command.broker().clone();
     let finish = front.file.finish.0;
     // Whether the client has been sent the header of its new stream: an error outside a stream says nothing.
@@ -66,13 +71,13 @@
             Unit::Header(_) => greeted = true,
             Unit::Stanza(element) if element.is(STREAMS, "error") => {
                 let away = element.has("see-other-host") || element.has("system-shutdown");
-                last = Some(if away { Ended::Left } else { Ended::Broken });
+                last = Some(if away { ConnectionEnd::Left } else { ConnectionEnd::Broken });
             }
             _ => {}
         });
         tokio::select! {
             biased;
-            () = command.moved() => (false, None),
+            () = command.move_requested() => (false, None),
             stop = up => (true, Some(stop)),
             stop = down => (false, Some(stop)),
         }
@@ -89,7 +94,7 @@
         tokio::select! {
             () = both => {}
             // Only whole stanzas are ever written, but one may be stuck half way: nothing may follow it.
-            () = broker.after(finish) => {}
+            () = broker.sleep(finish) => {}
         }
         let farewell = match &front.file.other_host {
             Some(host) => {
@@ -100,7 +105,7 @@
             None => error("system-shutdown", "please come again"),
         };
         end(&broker, client, &(opening + &farewell), instance, &error("system-shutdown", "")).await;
-        return Ended::Left;
+        return ConnectionEnd::Left;
     };
     match (from_client, stop) {
         // One side closed the stream: the other has a while to close it too.
@@ -108,28 +113,28 @@
             let answered = pass(&mut instance.reader, &mut client.writer, |_| ());
             tokio::select! {
                 _ = answered => {}
-                () = broker.after(finish) => {}
+                () = broker.sleep(finish) => {}
             }
             end(&broker, client, "", instance, "").await;
-            Ended::Left
+            ConnectionEnd::Left
         }
         (false, Stop::Closed) => {
             let answered = pass(&mut client.reader, &mut instance.writer, |_| ());
             tokio::select! {
                 _ = answered => {}
-                () = broker.after(LINGER) => {}
+                () = broker.sleep(LINGER) => {}
             }
             end(&broker, client, "", instance, "").await;
-            last.unwrap_or(Ended::Served)
+            last.unwrap_or(ConnectionEnd::Served)
         }
         (true, Stop::Sender(Cut::Bad(condition))) => {
             tracing::warn!("xmpp client: {condition}; its connection is ended");
             end(&broker, client, &(opening + &error(condition, "")), instance, CLOSE).await;
-            Ended::Left
+            ConnectionEnd::Left
         }
         (true, Stop::Sender(Cut::Ended)) | (false, Stop::Receiver) => {
             end(&broker, client, "", instance, CLOSE).await;
-            Ended::Left
+            ConnectionEnd::Left
         }
         (from_client, stop) => {
             let words = match (from_client, stop) {
@@ -147,7 +152,7 @@
                 &words,
             )
             .await;
-            last.unwrap_or(Ended::Broken)
+            last.unwrap_or(ConnectionEnd::Broken)
         }
     }
 }
--- a/src/net/xmpp/stream.rs
+++ b/src/net/xmpp/stream.rs
@@ -215,7 +215,7 @@
                     _ => return Err(Cut::Ended),
                 },
                 // A peer that stalls within a stanza must not hold its place for ever.
-                () = self.broker.until(until) => return Err(Cut::Bad("connection-timeout")),
+                () = self.broker.sleep_until(until) => return Err(Cut::Bad("connection-timeout")),
             }
         }
     }
@@ -328,7 +328,7 @@
         };
         tokio::select! {
             () = finished => {}
-            () = broker.after(within) => {}
+            () = broker.sleep(within) => {}
         }
     }
 }
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -103,10 +103,10 @@
             tracing::warn!("[failover] is not for so many balancers yet: groups are cut by zone, and cold servers may be filled too fast");
         }
         plans = Some((terms.clone(), worthiest(broker.names().classes(), &worths)));
-        broker.zones(terms, place_of(&config, started, &broker, &zoned)?);
+        broker.enable_zones(terms, place_of(&config, started, &broker, &zoned)?);
     }
-    broker.contract(operator.terms);
-    broker.rebalance(operator.rebalance);
+    broker.set_contracts(operator.terms);
+    broker.set_rebalance(operator.rebalance);
     let mut group = None;
     if let Some(mut settings) = operator.group {
         // Where there are no contracts there is no account.
@@ -131,17 +131,17 @@
     place.iter().for_each(|place| upgrade::clear(place));
 
     let sweeper = broker.clone();
-    spawn_local(async move { sweeper.sweep().await });
+    spawn_local(async move { sweeper.run_deadlines().await });
     spawn_local(net::orders(broker.clone(), ordered, config.discovery));
     if let Some(known) = config.known.take() {
-        broker.listed(ListKind::Cached, known);
+        broker.update_list(ListKind::Cached, known);
     } else {
-        broker.no_list();
+        broker.list_unavailable();
     }
     let keeper = broker.clone();
-    spawn_local(async move { keeper.keep_contracts().await });
+    spawn_local(async move { keeper.run_scheduled_work().await });
     let keeper = broker.clone();
-    spawn_local(async move { keeper.keep_drain().await });
+    spawn_local(async move { keeper.run_drain().await });
     let guests = lobby.clone();
     let connections = Connections::default();
     let serve = move |stream, from| net::platform::serve(guests.clone(), stream, from);
@@ -172,10 +172,10 @@
     let counted = connections.clone();
     let clients = async move {
         first_list(&host, shared).await;
-        if host.leaving() && !shared {
+        if host.is_shutting_down() && !shared {
             return Ok(());
         }
-        host.begin();
+        host.start_serving();
         if let Some((reserved, serve)) = xmpp {
             let listener = reserved.listen()?;
             tracing::info!("{name} serves XMPP on {}", listener.at()?);
@@ -200,7 +200,7 @@
     };
     let accounts = async {
         loop {
-            broker.after(every.get()).await;
+            broker.sleep(every.get()).await;
             clerk.write();
         }
     };
@@ -239,17 +239,17 @@
 /// since counts as notified soon after, whether or not it was asked for: so discovery is heard first, unless it cannot be reached.
 async fn first_list(broker: &Broker, shared: bool) {
     // An older process serves meanwhile, or an agent has the list: a failed call is not the last word.
-    let patient = shared || broker.pushed();
+    let patient = shared || broker.list_is_pushed();
     let longest = if patient { UNTOLD } else { FIRST_LIST };
     let mut state = broker.list_state();
     let enough = |state: &ListState| match state {
-        ListState::Given => false,
+        ListState::Configured => false,
         ListState::Confirmed => true,
         ListState::Unreachable => !patient,
     };
     tokio::select! {
         _ = state.wait_for(enough) => {}
-        () = broker.after(longest) => tracing::warn!("discovery has told nothing yet: serving by the list given"),
+        () = broker.sleep(longest) => tracing::warn!("discovery has told nothing yet: serving by the list given"),
     }
 }
 
@@ -318,7 +318,7 @@
             };
             let discovery = config.discovery;
             tracing::info!("configuration read again: discovery is at {discovery}{ignored}");
-            broker.discovery_at(discovery);
+            broker.set_discovery_address(discovery);
         }
         Err(e) => tracing::error!("configuration not taken over, the old one stays in force: {e}"),
     }
@@ -328,8 +328,8 @@
         Ok(operator) => {
             operator.warnings.iter().for_each(|w| tracing::warn!("{w}"));
             every.set(operator.every);
-            broker.rebalance(operator.rebalance);
-            let changes = broker.contract(operator.terms);
+            broker.set_rebalance(operator.rebalance);
+            let changes = broker.set_contracts(operator.terms);
             for c in &changes {
                 let (team, key, before, after) = (&c.team, c.key, &c.before, &c.after);
                 tracing::info!(team, key, before, after, "contract changed");
@@ -342,7 +342,7 @@
 
 /// The time in which all that stands is asked to move once the program is to end.
 fn span(broker: &Broker) -> u64 {
-    broker.longest().clamp(COMING, LONGEST_END)
+    broker.max_deadline().clamp(COMING, LONGEST_END)
 }
 
 /// The program is to end: it goes on answering, and asks every client to come again, in time before it may
@@ -353,8 +353,8 @@
 async fn leave(broker: &Rc<Broker>, lobby: &Lobby, connections: &Connections, shared: bool) {
     let (begun, span) = (broker.now(), span(broker));
     let (from, end) = (if shared { begun } else { begun + span * FROM / 10 }, begun + span);
-    tracing::info!("leaving: {} connections are asked to come again", broker.in_hand());
-    broker.leave(from, end);
+    tracing::info!("leaving: {} connections are asked to come again", broker.active_commands());
+    broker.shut_down(from, end);
     let mut parts = None;
     loop {
         let now = broker.now();
@@ -365,13 +365,13 @@
             // Nobody is left without an answer: who rests here may be asking in this very moment.
             lobby.clear();
             let parted = connections.open() == 0 || now >= *parts.get_or_insert(now) + PARTING;
-            if parted && broker.in_hand() == 0 || now >= end + OVERTIME {
+            if parted && broker.active_commands() == 0 || now >= end + OVERTIME {
                 break;
             }
         }
-        broker.after(20_000).await;
+        broker.sleep(20_000).await;
     }
-    tracing::info!("left with {} connections in hand", broker.in_hand());
+    tracing::info!("left with {} connections in hand", broker.active_commands());
 }
 
 /// A plain word on files that earlier versions read, so that nobody's contracts vanish silently.
--- a/src/serve/upgrade.rs
+++ b/src/serve/upgrade.rs
@@ -28,7 +28,12 @@
 
 /// Leaves what stands, whole or not at all; `until` is when this process ends at the latest.
 pub fn leave(broker: &Broker, place: &Path, balancer: &str, until: u64) {
-    let handover = Handover { balancer: balancer.into(), at: broker.now(), until, stands: broker.stands() };
+    let handover = Handover {
+        balancer: balancer.into(),
+        at: broker.now(),
+        until,
+        stands: broker.established_connections(),
+    };
     let half = place.with_extension(std::process::id().to_string());
     let written = std::fs::File::create(&half)
         .and_then(|mut file| file.write_all(&handover.encode()))
@@ -46,7 +51,7 @@
 pub async fn take_up(broker: Rc<Broker>, place: PathBuf, balancer: String) {
     let end = broker.now() + LOOKS;
     // What lies there once this process leaves too is its own.
-    while broker.now() < end && !broker.leaving() {
+    while broker.now() < end && !broker.is_shutting_down() {
         if let Some(bytes) = read(&place) {
             match Handover::decode(&bytes, &balancer, broker.now()) {
                 Ok(handover) => {
@@ -54,14 +59,14 @@
                         "{} connections stand at the process before this one",
                         handover.stands.len()
                     );
-                    broker.inherit(handover.stands);
-                    broker.until(handover.until.min(end)).await;
-                    return broker.alone();
+                    broker.inherit_connections(handover.stands);
+                    broker.sleep_until(handover.until.min(end)).await;
+                    return broker.predecessor_ended();
                 }
                 Err(why) => tracing::warn!("{} {why}: ignored", place.display()),
             }
         }
-        broker.after(LOOK).await;
+        broker.sleep(LOOK).await;
     }
 }
 
