--- a/src/broker/command.rs
+++ b/src/broker/command.rs
@@ -1,7 +1,7 @@
 //! A command's life, from its arrival to its final answer and on to the end of its connection.
 
-use super::figures::{End, Tally};
 use super::front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
+use super::metrics::{CommandMetrics, CommandResult};
 use super::{Broker, Descriptors, Refused, Word, ANSWER_AHEAD, CONNECTION};
 use crate::api::*;
 use std::rc::Rc;
@@ -29,11 +29,11 @@
     C: Client,
     D: Dialer<Link = C::Link>,
 {
-    let tally = broker.count_command(demand.class);
+    let command_metrics = broker.count_command(demand.class);
     let mut command = match broker.take(demand, team) {
         Ok(command) => command,
         Err(Refused(after)) => {
-            tally.ends(End::Rejected);
+            command_metrics.record_result(CommandResult::Rejected);
             return client.nack(after).await;
         }
     };
@@ -47,16 +47,16 @@
         let (instance, patience) = match word {
             Word::Execute { instance, patience } => (instance, patience),
             Word::Nack(after) => {
-                tally.ends(End::Rejected);
+                command_metrics.record_result(CommandResult::Rejected);
                 return client.nack(after).await;
             }
             Word::Fail => {
-                tally.ends(End::Failed);
+                command_metrics.record_result(CommandResult::Failed);
                 return client.fail(command.failure()).await;
             }
             Word::Move => continue,
         };
-        let Some(execution) = command.begin(instance, patience, &tally) else { continue };
+        let Some(execution) = command.begin(instance, patience, &command_metrics) else { continue };
         let came = tokio::select! {
             biased;
             // Looked at before the connection is: whoever left in the turn in which it came up is not sent on.
@@ -71,7 +71,7 @@
         }
     };
     command.opened();
-    tally.ends(End::Completed);
+    command_metrics.record_result(CommandResult::Completed);
     let ended = client.relay(link, &mut command).await;
     command.ended(ended);
 }
@@ -89,15 +89,15 @@
     C: Client,
     D: Dialer<Link = C::Link>,
 {
-    let tally = broker.count_command(demand.class);
+    let command_metrics = broker.count_command(demand.class);
     let Some(_both) = broker.reserve_descriptors(CONNECTION) else {
-        tally.ends(End::Rejected);
+        command_metrics.record_result(CommandResult::Rejected);
         return client.nack(None).await;
     };
     let until = broker.now().saturating_add(demand.left).saturating_sub(ANSWER_AHEAD);
     let link = loop {
         let tried = async {
-            let execution = broker.execution(&demand.call, instance, until, &tally)?;
+            let execution = broker.execution(&demand.call, instance, until, &command_metrics)?;
             dialer.execute(&execution).await.ok()
         };
         let again = async {
@@ -116,7 +116,7 @@
             () = broker.sleep_until(until) => return client.fail(Failure::Deadline).await,
         }
     };
-    tally.ends(End::Completed);
+    command_metrics.record_result(CommandResult::Completed);
     let mut command = broker.adopt(demand, team, instance);
     let ended = client.relay(link, &mut command).await;
     command.ended(ended);
@@ -187,12 +187,17 @@
     }
 
     /// The execution that the module asked for; none where the instance has left the list meanwhile.
-    fn begin(&mut self, instance: HostId, patience: Micros, tally: &Rc<Tally>) -> Option<Execution> {
+    fn begin(
+        &mut self,
+        instance: HostId,
+        patience: Micros,
+        command_metrics: &Rc<CommandMetrics>,
+    ) -> Option<Execution> {
         let now = self.broker.now();
         self.out = Some((instance, now));
         self.executions += 1;
         let until = now.saturating_add(patience).min(self.deadline);
-        let execution = self.broker.execution(&self.id, instance, until, tally);
+        let execution = self.broker.execution(&self.id, instance, until, command_metrics);
         if execution.is_none() {
             self.finished(Outcome::Moot);
         }
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -5,8 +5,8 @@
 //! Promised: contracts are asked before the module is; whatever was let in is given back exactly once, however it
 //! ends; moves that contracts want come out as the module's own do.
 
-use super::handover::Stand;
-use super::loads::{Client, Loads};
+use super::handover::HandedOverConnection;
+use super::load_history::{ClientId, LoadHistory};
 use super::occupancy::Slot;
 use super::zones::{BalancerContext, CommandIdentity, ZoneRouter};
 use crate::api::*;
@@ -48,12 +48,12 @@
 }
 
 /// Who a client is by what it named.
-fn client(team: Option<Arc<str>>, key: &Option<Arc<str>>) -> Option<Client> {
+fn client(team: Option<Arc<str>>, key: &Option<Arc<str>>) -> Option<ClientId> {
     Some((team, key.clone()?))
 }
 
 impl Book {
-    fn client(&self) -> Option<Client> {
+    fn client(&self) -> Option<ClientId> {
         client(self.team.clone(), &self.key)
     }
 
@@ -97,11 +97,11 @@
     projects: Vec<String>,
     tenants: Vec<Tenant>,
     books: BTreeMap<CallId, Book>,
-    loads: Loads,
+    load_history: LoadHistory,
     /// The fleet's plan for zones; none where the operator wants none.
     zones: Option<ZoneRouter>,
     /// Connections that stand at the process before this one: their clients come here. Who named no key is under none.
-    older: BTreeMap<Option<Client>, Vec<CallId>>,
+    older: BTreeMap<Option<ClientId>, Vec<CallId>>,
     /// Instances that the list calls ready: size, and when each was started.
     ready: BTreeMap<HostId, (f64, Micros)>,
 }
@@ -130,7 +130,7 @@
         if demand.returned || demand.repeat {
             self.comes_over(now, &whose);
         }
-        demand.hint = demand.hint.or_else(|| self.loads.usual(now, whose.as_ref()?));
+        demand.hint = demand.hint.or_else(|| self.load_history.recent_load(now, whose.as_ref()?));
         demand.tenant = team.and_then(|name| self.projects.iter().position(|p| p == name));
         let mut ticket = None;
         if let Some(contracts) = &mut self.contracts {
@@ -190,20 +190,27 @@
     }
 
     /// What stands here, for the process after this one.
-    pub fn stands(&self, now: Micros) -> Vec<Stand> {
+    pub fn stands(&self, now: Micros) -> Vec<HandedOverConnection> {
         let text = |text: &Option<Arc<str>>| text.as_deref().map(String::from);
-        let usual = |book: &Book| self.loads.usual(now, &book.client()?);
+        let usual = |book: &Book| self.load_history.recent_load(now, &book.client()?);
         let stand = |book: &Book| {
             let class = self.frame.classes.get(book.class)?.0.to_string();
             let (team, key, group) = (text(&book.team), text(&book.key), text(&book.group));
-            Some(Stand { class, team, key, group, instance: book.host, load: usual(book).or(book.load) })
+            Some(HandedOverConnection {
+                class,
+                team,
+                key,
+                group,
+                instance: book.host,
+                load: usual(book).or(book.load),
+            })
         };
         self.books.values().filter(|book| book.stands).filter_map(stand).collect()
     }
 
     /// What stands at the process before this one: booked as if it stood here, until its client comes over or
     /// [`Core::alone`] says that the other process has ended.
-    pub fn inherit(&mut self, now: Micros, stands: Vec<Stand>) {
+    pub fn inherit(&mut self, now: Micros, stands: Vec<HandedOverConnection>) {
         for (i, stand) in stands.into_iter().enumerate() {
             let Some(class) = self.frame.classes.iter().position(|c| *c.0 == *stand.class) else { continue };
             // No client can choose such an id.
@@ -211,7 +218,7 @@
             let key: Option<Arc<str>> = stand.key.map(Into::into);
             let (group, hint) = (stand.group.map(Into::into), stand.load.filter(|load| load.is_finite()));
             let whose = client(stand.team.as_deref().map(Into::into), &key);
-            whose.iter().zip(hint).for_each(|(whose, load)| self.loads.told(now, whose, load));
+            whose.iter().zip(hint).for_each(|(whose, load)| self.load_history.record(now, whose, load));
             let demand = Demand { key, group, hint, ..Demand::new(&id, class, Micros::MAX / 4) };
             // It stands elsewhere: what moves it decides is decided there.
             self.adopt(now, demand, stand.team.as_deref(), stand.instance);
@@ -226,7 +233,7 @@
     }
 
     /// A client that stood at the process before this one comes here.
-    fn comes_over(&mut self, now: Micros, whose: &Option<Client>) {
+    fn comes_over(&mut self, now: Micros, whose: &Option<ClientId>) {
         if whose.is_none() {
             return;
         }
@@ -257,7 +264,7 @@
             Event::LoadNote { call, load } => {
                 if let Some(book) = self.books.get_mut(call) {
                     book.load = Some(*load);
-                    book.client().iter().for_each(|whose| self.loads.told(now, whose, *load));
+                    book.client().iter().for_each(|whose| self.load_history.record(now, whose, *load));
                 }
             }
             Event::Finished { call, host, outcome, ended, .. } => {
--- a/src/broker/front.rs
+++ b/src/broker/front.rs
@@ -1,6 +1,6 @@
 //! What a front is to the core: a side that faces service clients, one that faces instances, and the words that pass.
 
-use super::figures::Tally;
+use super::metrics::CommandMetrics;
 use super::{Broker, Command};
 use crate::api::*;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     /// When it is given up.
     pub deadline: Micros,
     pub(super) call: CallId,
-    pub(super) tally: Rc<Tally>,
+    pub(super) command_metrics: Rc<CommandMetrics>,
     pub(super) broker: Rc<Broker>,
 }
 
@@ -58,12 +58,12 @@
     pub fn may_send(&self) -> bool {
         let state = self.broker.state.borrow();
         let allowed = state.core.may_still(self.broker.now(), &self.call, self.instance);
-        allowed && state.instances.takes(self.instance)
+        allowed && state.instances.is_ready(self.instance)
     }
 
     /// Its first words were written whole: from now on it may run.
     pub fn record_sent(&self) {
-        self.tally.attempt();
+        self.command_metrics.record_attempt();
     }
 
     /// What is left of its time.
--- a/src/broker/handover.rs
+++ b/src/broker/handover.rs
@@ -1,7 +1,7 @@
 //! What a process that ends hands to the one after it: the connections that stand, as the new one is to book them
 //! until their clients come back.
 //!
-//! Promised: what is read is whole, of this version, of this balancer, and was written just now; else an [`Unfit`]
+//! Promised: what is read is whole, of this version, of this balancer, and was written just now; else an [`HandoverError`]
 //! says why it is not. Not promised: that there is anything to read.
 
 use crate::api::{HostId, Micros};
@@ -11,13 +11,13 @@
 /// In front of it, with the version: another version's is not read.
 const MAGIC: &str = "oakdeal-handover-1";
 /// The most that is read: some ten thousand connections.
-pub const MOST: usize = 4 << 20;
+pub const MAX_BYTES: usize = 4 << 20;
 /// Older than this it is from before: the platform ends the old process within seconds of the new one's yes.
-const FRESH: Micros = 10_000_000;
+const MAX_AGE: Micros = 10_000_000;
 
 /// A connection that stands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stand {
+pub struct HandedOverConnection {
     /// Its class, by name.
     pub class: String,
     /// The team that its client named.
@@ -38,33 +38,36 @@
     /// Whose it is.
     pub balancer: String,
     /// When it was written, in Unix time.
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub written_at: Micros,
     /// Until when the old process may go on, in Unix time.
-    pub until: Micros,
+    #[serde(rename = "until")]
+    pub predecessor_exit: Micros,
     /// What stands.
-    pub stands: Vec<Stand>,
+    #[serde(rename = "stands")]
+    pub connections: Vec<HandedOverConnection>,
 }
 
 /// Why what was found is not taken up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum HandoverError {
     /// It is no handover, or another version's.
-    Foreign,
+    UnknownFormat,
     /// It is not whole.
-    Torn,
+    Corrupt,
     /// It is another balancer's.
-    Other,
+    WrongBalancer,
     /// It is from before.
-    Old,
+    Expired,
 }
 
-impl std::fmt::Display for Unfit {
+impl std::fmt::Display for HandoverError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Unfit::Foreign => "is no handover of this version",
-            Unfit::Torn => "is not whole",
-            Unfit::Other => "is another balancer's",
-            Unfit::Old => "is from before",
+            HandoverError::UnknownFormat => "is no handover of this version",
+            HandoverError::Corrupt => "is not whole",
+            HandoverError::WrongBalancer => "is another balancer's",
+            HandoverError::Expired => "is from before",
         })
     }
 }
@@ -77,18 +80,21 @@
     }
 
     /// Reads it, if it is for this balancer and was written just now.
-    pub fn decode(bytes: &[u8], balancer: &str, now: Micros) -> Result<Handover, Unfit> {
-        let text = std::str::from_utf8(bytes).map_err(|_| Unfit::Foreign)?;
-        let rest = text.strip_prefix(MAGIC).and_then(|rest| rest.strip_prefix(' ')).ok_or(Unfit::Foreign)?;
-        let (sum, body) = rest.split_once('\n').ok_or(Unfit::Torn)?;
+    pub fn decode(bytes: &[u8], balancer: &str, now: Micros) -> Result<Handover, HandoverError> {
+        let text = std::str::from_utf8(bytes).map_err(|_| HandoverError::UnknownFormat)?;
+        let rest = text
+            .strip_prefix(MAGIC)
+            .and_then(|rest| rest.strip_prefix(' '))
+            .ok_or(HandoverError::UnknownFormat)?;
+        let (sum, body) = rest.split_once('\n').ok_or(HandoverError::Corrupt)?;
         if u64::from_str_radix(sum, 16) != Ok(xxh64(body.as_bytes(), 0)) {
-            return Err(Unfit::Torn);
+            return Err(HandoverError::Corrupt);
         }
-        let read: Handover = serde_json::from_str(body).map_err(|_| Unfit::Foreign)?;
+        let read: Handover = serde_json::from_str(body).map_err(|_| HandoverError::UnknownFormat)?;
         match read {
-            read if read.balancer != balancer => Err(Unfit::Other),
+            read if read.balancer != balancer => Err(HandoverError::WrongBalancer),
             // One from the future is of a clock that was set back since.
-            read if read.at.abs_diff(now) > FRESH => Err(Unfit::Old),
+            read if read.written_at.abs_diff(now) > MAX_AGE => Err(HandoverError::Expired),
             read => Ok(read),
         }
     }
@@ -102,7 +108,7 @@
     const NOW: Micros = 1_700_000_000_000_000;
 
     fn one() -> Handover {
-        let stand = Stand {
+        let stand = HandedOverConnection {
             class: "watch".into(),
             team: None,
             key: Some("k".into()),
@@ -110,19 +116,24 @@
             instance: 7,
             load: Some(762_700.5),
         };
-        Handover { balancer: "n0".into(), at: NOW, until: NOW + 5, stands: vec![stand] }
+        Handover {
+            balancer: "n0".into(),
+            written_at: NOW,
+            predecessor_exit: NOW + 5,
+            connections: vec![stand],
+        }
     }
 
     #[test]
     fn what_does_not_fit_is_said_to() {
         let bytes = one().encode();
         assert_eq!(Handover::decode(&bytes, "n0", NOW + 9_000_000), Ok(one()));
-        assert_eq!(Handover::decode(&bytes, "n1", NOW), Err(Unfit::Other));
-        assert_eq!(Handover::decode(&bytes, "n0", NOW + 11_000_000), Err(Unfit::Old));
-        assert_eq!(Handover::decode(&bytes, "n0", NOW - 11_000_000), Err(Unfit::Old));
+        assert_eq!(Handover::decode(&bytes, "n1", NOW), Err(HandoverError::WrongBalancer));
+        assert_eq!(Handover::decode(&bytes, "n0", NOW + 11_000_000), Err(HandoverError::Expired));
+        assert_eq!(Handover::decode(&bytes, "n0", NOW - 11_000_000), Err(HandoverError::Expired));
         let newer = String::from_utf8(bytes).unwrap().replace("handover-1", "handover-2");
-        assert_eq!(Handover::decode(newer.as_bytes(), "n0", NOW), Err(Unfit::Foreign));
-        assert_eq!(Handover::decode(b"", "n0", NOW), Err(Unfit::Foreign));
+        assert_eq!(Handover::decode(newer.as_bytes(), "n0", NOW), Err(HandoverError::UnknownFormat));
+        assert_eq!(Handover::decode(b"", "n0", NOW), Err(HandoverError::UnknownFormat));
     }
 
     proptest! {
--- a/src/broker/instances.rs
+++ b/src/broker/instances.rs
@@ -114,12 +114,12 @@
 pub struct Instances {
     by_id: BTreeMap<HostId, Instance>,
     /// Version of the list held.
-    pub index: u64,
+    pub list_version: u64,
 }
 
 /// The number of an instance, made from its name alone: every balancer must come to the same one, since the
 /// ring is built from it. The platform's names end in a number of eight hex digits; others are hashed.
-pub fn number(name: &str) -> HostId {
+pub fn instance_id(name: &str) -> HostId {
     let tail = name.rsplit('-').next().unwrap_or_default();
     match HostId::from_str_radix(tail, 16) {
         Ok(id) if tail.len() == 8 => id,
@@ -130,8 +130,8 @@
 impl Instances {
     /// Takes news in and hands on what the module is to be told of it. What an entry has wrong is logged and
     /// the entry passed over: the others stand.
-    pub fn news(&mut self, kind: ListKind, listing: Listing, names: &Names) -> Vec<Entry> {
-        self.index = listing.index;
+    pub fn apply_update(&mut self, kind: ListKind, listing: Listing, names: &Names) -> Vec<Entry> {
+        self.list_version = listing.index;
         let mut entries = Vec::new();
         for e in listing.endpoints {
             let state = match e.status.as_str() {
@@ -146,7 +146,7 @@
                     continue;
                 }
             };
-            let id = number(&e.name);
+            let id = instance_id(&e.name);
             let known = self.by_id.get(&id);
             // Two names with one number would be taken for one instance, and connections end up elsewhere.
             if known.is_some_and(|known| *known.name != *e.name) {
@@ -185,7 +185,7 @@
     }
 
     /// How many the list names.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.by_id.len()
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Whether something new may be sent there.
-    pub fn takes(&self, id: HostId) -> bool {
+    pub fn is_ready(&self, id: HostId) -> bool {
         self.get(id).is_some_and(|i| i.state == HostState::Ready)
     }
 }
--- a/src/broker/figures.rs
+++ b/src/broker/metrics.rs
@@ -1,6 +1,6 @@
 //! What the balancer counts for its operators, from its start on.
 //!
-//! Promised: a command is pending while its [`Tally`] lives and ends under exactly one count. Not promised: counts of
+//! Promised: a command is pending while its [`CommandMetrics`] lives and ends under exactly one count. Not promised: counts of
 //! what is no command yet (a first line that cannot be read names no class).
 
 use std::cell::{Cell, RefCell};
@@ -9,7 +9,7 @@
 
 /// How a command ended, as far as its service client is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CommandResult {
     /// Brought up.
     Completed,
     /// Refused: it may come again.
@@ -28,27 +28,27 @@
 
 /// What is seen of the list at this moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Members {
+pub struct MemberCounts {
     /// Instances that it names.
     pub listed: usize,
     /// Those of them that nothing new is sent to now.
-    pub avoided: usize,
+    pub unavailable: usize,
 }
 
 /// The books.
 #[derive(Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: RefCell<Vec<Counts>>,
     pending: Cell<usize>,
 }
 
-impl Figures {
+impl Metrics {
     /// Books for so many classes.
-    pub fn new(classes: usize) -> Rc<Figures> {
-        Rc::new(Figures { classes: RefCell::new(vec![Counts::default(); classes]), pending: Cell::new(0) })
+    pub fn new(classes: usize) -> Rc<Metrics> {
+        Rc::new(Metrics { classes: RefCell::new(vec![Counts::default(); classes]), pending: Cell::new(0) })
     }
 
-    fn count(&self, class: usize, change: impl FnOnce(&mut Counts)) {
+    fn update_counts(&self, class: usize, change: impl FnOnce(&mut Counts)) {
         // A class that the settings do not name is not asked for: the fronts refuse it.
         if let Some(counts) = self.classes.borrow_mut().get_mut(class) {
             change(counts);
@@ -56,13 +56,13 @@
     }
 
     /// A command of a class was taken.
-    pub fn taken(self: &Rc<Self>, class: usize) -> Tally {
+    pub fn begin_command(self: &Rc<Self>, class: usize) -> CommandMetrics {
         self.pending.set(self.pending.get() + 1);
-        Tally { figures: self.clone(), class, ended: Cell::new(None) }
+        CommandMetrics { metrics: self.clone(), class, result: Cell::new(None) }
     }
 
     /// The lines of all figures.
-    pub fn lines(&self, names: &[String], members: Members) -> String {
+    pub fn lines(&self, names: &[String], members: MemberCounts) -> String {
         let mut text = String::new();
         for (name, c) in names.iter().zip(self.classes.borrow().iter()) {
             for (count, n) in [
@@ -77,7 +77,7 @@
         for (gauge, n) in [
             ("pending", self.pending.get()),
             ("members", members.listed),
-            ("members_unavailable", members.avoided),
+            ("members_unavailable", members.unavailable),
         ] {
             let _ = write!(text, "lb.{gauge}:{n}|g\r\n");
         }
@@ -86,44 +86,44 @@
 }
 
 /// One command in the books, until it is dropped.
-pub struct Tally {
-    figures: Rc<Figures>,
+pub struct CommandMetrics {
+    metrics: Rc<Metrics>,
     class: usize,
-    ended: Cell<Option<End>>,
+    result: Cell<Option<CommandResult>>,
 }
 
-impl Tally {
+impl CommandMetrics {
     /// It has ended so; only the first word counts. One that was brought up is pending until this is dropped.
-    pub fn ends(&self, end: End) {
-        if self.ended.get().is_none() {
-            self.ended.set(Some(end));
-            if end != End::Completed {
-                self.over();
+    pub fn record_result(&self, end: CommandResult) {
+        if self.result.get().is_none() {
+            self.result.set(Some(end));
+            if end != CommandResult::Completed {
+                self.leave_pending();
             }
-            self.figures.count(self.class, |c| match end {
-                End::Completed => c.completed += 1,
-                End::Rejected => c.rejected += 1,
-                End::Failed => c.failed += 1,
+            self.metrics.update_counts(self.class, |c| match end {
+                CommandResult::Completed => c.completed += 1,
+                CommandResult::Rejected => c.rejected += 1,
+                CommandResult::Failed => c.failed += 1,
             });
         }
     }
 
-    fn over(&self) {
-        self.figures.pending.set(self.figures.pending.get() - 1);
+    fn leave_pending(&self) {
+        self.metrics.pending.set(self.metrics.pending.get() - 1);
     }
 
     /// An attempt was written whole to an instance.
-    pub fn attempt(&self) {
-        self.figures.count(self.class, |c| c.attempts += 1);
+    pub fn record_attempt(&self) {
+        self.metrics.update_counts(self.class, |c| c.attempts += 1);
     }
 }
 
-impl Drop for Tally {
+impl Drop for CommandMetrics {
     fn drop(&mut self) {
-        match self.ended.get() {
-            Some(End::Completed) => self.over(),
+        match self.result.get() {
+            Some(CommandResult::Completed) => self.leave_pending(),
             Some(_) => {}
-            None => self.ends(End::Failed),
+            None => self.record_result(CommandResult::Failed),
         }
     }
 }
@@ -135,21 +135,21 @@
     /// Guards against a command under two counts or none, and a figure that appears only once it counts.
     #[test]
     fn a_command_ends_under_one_count_and_every_class_is_there_from_the_start() {
-        let figures = Figures::new(2);
+        let metrics = Metrics::new(2);
         let names = ["chat".to_string(), "watch".to_string()];
-        let members = Members { listed: 5, avoided: 2 };
-        let read = || figures.lines(&names, members);
+        let members = MemberCounts { listed: 5, unavailable: 2 };
+        let read = || metrics.lines(&names, members);
         let start = read();
         assert_eq!(start.lines().count(), 11);
         assert!(start.lines().take(8).all(|line| line.ends_with(":0|c")), "{start}");
-        let taken = figures.taken(1);
-        taken.attempt();
-        taken.ends(End::Completed);
-        taken.ends(End::Failed);
+        let taken = metrics.begin_command(1);
+        taken.record_attempt();
+        taken.record_result(CommandResult::Completed);
+        taken.record_result(CommandResult::Failed);
         assert!(read().contains("lb.pending:1|g\r\nlb.members:5|g\r\nlb.members_unavailable:2|g\r\n"));
         drop(taken);
-        drop(figures.taken(0));
-        figures.taken(0).ends(End::Rejected);
+        drop(metrics.begin_command(0));
+        metrics.begin_command(0).record_result(CommandResult::Rejected);
         let text = read();
         for line in [
             "lb.completed.watch:1|c",
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -8,11 +8,11 @@
 pub mod core;
 pub mod deadlines;
 pub mod drain;
-pub mod figures;
 pub mod front;
 pub mod handover;
 pub mod instances;
-pub mod loads;
+pub mod load_history;
+pub mod metrics;
 pub mod occupancy;
 pub mod operations;
 pub mod zones;
@@ -27,10 +27,10 @@
 use core::Core;
 use deadlines::{Clock, Deadlines, Wait};
 use drain::Drain;
-use figures::{Figures, Members, Tally};
 pub use front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
-use handover::Stand;
+use handover::HandedOverConnection;
 use instances::{Instances, Listing};
+use metrics::{CommandMetrics, MemberCounts, Metrics};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -108,7 +108,7 @@
     orders: UnboundedSender<NetworkRequest>,
     descriptors: Cell<usize>,
     drain: RefCell<Drain>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     /// Says that moves of a drain are to be looked at.
     drains: Notify,
     /// What discovery has answered in this run.
@@ -141,7 +141,7 @@
             orders,
             descriptors: Cell::new(descriptors),
             drain: RefCell::default(),
-            figures: Figures::new(classes),
+            metrics: Metrics::new(classes),
             drains: Notify::new(),
             list_state: watch::Sender::new(ListState::Configured),
         };
@@ -207,7 +207,7 @@
 
     /// Version of the list held.
     pub fn list_version(&self) -> u64 {
-        self.state.borrow().instances.index
+        self.state.borrow().instances.list_version
     }
 
     /// Whether changes of the list count as told without our asking.
@@ -217,7 +217,7 @@
 
     /// News of the list.
     pub fn update_list(&self, kind: ListKind, listing: Listing) {
-        let hosts = self.state.borrow_mut().instances.news(kind, listing, &self.names);
+        let hosts = self.state.borrow_mut().instances.apply_update(kind, listing, &self.names);
         self.tell(Event::Members { kind, hosts });
         if kind == ListKind::Cached && self.pushed {
             // The module asks where it has to. Here nobody has to, but on sockets news comes by the watch alone.
@@ -292,7 +292,7 @@
                     continue;
                 }
                 Action::Watch => {
-                    let _ = self.orders.send(NetworkRequest::Watch(state.instances.index));
+                    let _ = self.orders.send(NetworkRequest::Watch(state.instances.list_version));
                     continue;
                 }
             };
@@ -448,14 +448,14 @@
     }
 
     /// Books a command of a class until this is dropped: one that is given no end by then has failed.
-    pub fn count_command(&self, class: usize) -> Rc<Tally> {
-        Rc::new(self.figures.taken(class))
+    pub fn count_command(&self, class: usize) -> Rc<CommandMetrics> {
+        Rc::new(self.metrics.begin_command(class))
     }
 
-    fn members(&self) -> Members {
+    fn members(&self) -> MemberCounts {
         let state = self.state.borrow();
-        let (listed, takes) = (state.instances.listed(), state.core.takes(self.now()));
-        Members { listed, avoided: listed.saturating_sub(takes) }
+        let (listed, takes) = (state.instances.listed_count(), state.core.takes(self.now()));
+        MemberCounts { listed, unavailable: listed.saturating_sub(takes) }
     }
 
     fn execution(
@@ -463,12 +463,20 @@
         call: &CallId,
         instance: HostId,
         until: Micros,
-        tally: &Rc<Tally>,
+        command_metrics: &Rc<CommandMetrics>,
     ) -> Option<Execution> {
         let state = self.state.borrow();
         let (name, address) = state.instances.get(instance).map(|i| (i.name.clone(), i.address))?;
-        let (call, tally) = (call.clone(), tally.clone());
-        Some(Execution { instance, name, address, deadline: until, call, tally, broker: self.clone() })
+        let (call, command_metrics) = (call.clone(), command_metrics.clone());
+        Some(Execution {
+            instance,
+            name,
+            address,
+            deadline: until,
+            call,
+            command_metrics,
+            broker: self.clone(),
+        })
     }
 
     /// Whether the front is told to send clients.
@@ -477,12 +485,12 @@
     }
 
     /// What stands here, for the process after this one.
-    pub fn established_connections(&self) -> Vec<Stand> {
+    pub fn established_connections(&self) -> Vec<HandedOverConnection> {
         self.state.borrow().core.stands(self.now())
     }
 
     /// What stands at the process before this one.
-    pub fn inherit_connections(&self, stands: Vec<Stand>) {
+    pub fn inherit_connections(&self, stands: Vec<HandedOverConnection>) {
         let state = &mut *self.state.borrow_mut();
         state.core.inherit(self.now(), stands);
         self.look(state);
--- a/src/broker/operations.rs
+++ b/src/broker/operations.rs
@@ -20,8 +20,8 @@
     }
 
     /// All figures, a line each.
-    pub fn figures(&self) -> String {
-        self.0.figures.lines(self.0.names.classes(), self.0.members())
+    pub fn metrics(&self) -> String {
+        self.0.metrics.lines(self.0.names.classes(), self.0.members())
     }
 
     /// Takes it out: new clients are not wanted, and those that stand are asked to come again.
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -116,7 +116,7 @@
         match call {
             Some(Call::Health) if self.operations.ready() => "200 ready\r\n".into(),
             Some(Call::Health) => "400 not ready\r\n".into(),
-            Some(Call::Dump) => format!("200 figures\r\n{}EOF\r\n", self.operations.figures()),
+            Some(Call::Dump) => format!("200 figures\r\n{}EOF\r\n", self.operations.metrics()),
             Some(Call::Leave) => {
                 self.operations.leave();
                 "200 draining\r\n".into()
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -5,8 +5,8 @@
 use super::lobby::{Lobby, Over, FIRST};
 use super::relay;
 use crate::api::{Demand, Micros, Outcome};
-use crate::broker::figures::End;
-use crate::broker::instances::number;
+use crate::broker::instances::instance_id;
+use crate::broker::metrics::CommandResult;
 use crate::broker::{
     resume_connection, run_command, Broker, Client, ClientGone, Command, ConnectionEnd, Dialer, Execution,
     Failure,
@@ -184,12 +184,12 @@
     let (demand, open) = read.map_err(|why| format!("ERR first line {why}"))?;
     // The module books by id: a second one under the same would answer for the first.
     if broker.has_command(&demand.call.0) {
-        broker.count_command(demand.class).ends(End::Failed);
+        broker.count_command(demand.class).record_result(CommandResult::Failed);
         return Err("ERR id in use".into());
     }
     let dialer = Lines { open: &open, broker: &broker };
     match open.get("at") {
-        Some(at) => resume_connection(&broker, demand, open.get("t"), number(at), peer, &dialer).await,
+        Some(at) => resume_connection(&broker, demand, open.get("t"), instance_id(at), peer, &dialer).await,
         None => run_command(&broker, demand, open.get("t"), peer, &dialer).await,
     }
     Ok(())
--- a/src/serve/upgrade.rs
+++ b/src/serve/upgrade.rs
@@ -1,6 +1,6 @@
 //! Two processes of one balancer side by side: what the one that ends leaves for the other in `$TMPDIR`.
 
-use crate::broker::handover::{Handover, MOST};
+use crate::broker::handover::{Handover, MAX_BYTES};
 use crate::broker::Broker;
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
@@ -30,16 +30,16 @@
 pub fn leave(broker: &Broker, place: &Path, balancer: &str, until: u64) {
     let handover = Handover {
         balancer: balancer.into(),
-        at: broker.now(),
-        until,
-        stands: broker.established_connections(),
+        written_at: broker.now(),
+        predecessor_exit: until,
+        connections: broker.established_connections(),
     };
     let half = place.with_extension(std::process::id().to_string());
     let written = std::fs::File::create(&half)
         .and_then(|mut file| file.write_all(&handover.encode()))
         .and_then(|()| std::fs::rename(&half, place));
     match written {
-        Ok(()) => tracing::info!("handed over {} connections", handover.stands.len()),
+        Ok(()) => tracing::info!("handed over {} connections", handover.connections.len()),
         Err(e) => {
             tracing::warn!("{} cannot be written: {e}; nothing is handed over", place.display());
             let _ = std::fs::remove_file(&half);
@@ -57,10 +57,10 @@
                 Ok(handover) => {
                     tracing::info!(
                         "{} connections stand at the process before this one",
-                        handover.stands.len()
+                        handover.connections.len()
                     );
-                    broker.inherit_connections(handover.stands);
-                    broker.sleep_until(handover.until.min(end)).await;
+                    broker.inherit_connections(handover.connections);
+                    broker.sleep_until(handover.predecessor_exit.min(end)).await;
                     return broker.predecessor_ended();
                 }
                 Err(why) => tracing::warn!("{} {why}: ignored", place.display()),
@@ -75,6 +75,6 @@
     let mut bytes = Vec::new();
     let file = std::fs::File::open(place).ok()?;
     let _ = std::fs::remove_file(place);
-    file.take(MOST as u64 + 1).read_to_end(&mut bytes).ok()?;
+    file.take(MAX_BYTES as u64 + 1).read_to_end(&mut bytes).ok()?;
     Some(bytes)
 }
