--- a/lab/src/virt/decider.rs
+++ b/lab/src/virt/decider.rs
@@ -109,10 +109,10 @@
             let mut core = Core::new(settings, &names, seed).map_err(|e| e.to_string())?;
             if let Some(text) = &scenario.operator {
                 let operator = operator(text.get_ref())?;
-                core.contract(0, operator.terms);
-                core.rebalance(0, operator.rebalance);
+                core.set_contracts(0, operator.terms);
+                core.set_rebalance(0, operator.rebalance);
                 if let Some(terms) = operator.failover {
-                    core.zones(terms, place);
+                    core.enable_zones(terms, place);
                 }
             }
             Box::new(Own(core))
@@ -141,25 +141,25 @@
         out: &mut Vec<Action>,
     ) -> Result<(), Option<Micros>> {
         demand.left = demand.left.saturating_sub(AHEAD);
-        self.0.admit(now, &mut demand, Some(team)).map_err(|no| no.after)?;
-        self.0.tell(now, Event::Demand(demand), out);
+        self.0.admit(now, &mut demand, Some(team)).map_err(|no| no.retry_after)?;
+        self.0.handle_event(now, Event::Demand(demand), out);
         Ok(())
     }
 
     fn tell(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        self.0.tell(now, event, out);
+        self.0.handle_event(now, event, out);
     }
 
     fn due(&mut self, now: Micros) -> Option<Micros> {
-        self.0.due(now)
+        self.0.next_due(now)
     }
 
     fn turn(&mut self, now: Micros, out: &mut Vec<Action>) {
-        self.0.turn(now, out);
+        self.0.run_due(now, out);
     }
 
     fn follow(&mut self, now: Micros, plan: Option<&Plan>, out: &mut Vec<Action>) {
-        out.extend(self.0.follow(now, plan).0);
+        out.extend(self.0.follow_plan(now, plan).0);
     }
 
     fn digest(&mut self, now: Micros, out: &mut Vec<Action>) -> Option<Digest> {
@@ -170,8 +170,8 @@
 
     fn operate(&mut self, now: Micros, operator: &Operator) {
         let terms: Option<Terms> = operator.terms.clone();
-        self.0.contract(now, terms);
-        self.0.rebalance(now, operator.rebalance.clone());
+        self.0.set_contracts(now, terms);
+        self.0.set_rebalance(now, operator.rebalance.clone());
     }
 }
 
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -24,14 +24,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// When to come again.
-    pub after: Option<Micros>,
+    pub retry_after: Option<Micros>,
     /// Why.
     pub reason: Reason,
 }
 
 /// A request or a standing connection as it stands in the books.
 #[derive(Debug, Default)]
-struct Book {
+struct RequestRecord {
     class: usize,
     /// The team that its client named.
     team: Option<Arc<str>>,
@@ -42,28 +42,34 @@
     load: Option<f64>,
     /// What it holds of its team's contract, where there are contracts.
     ticket: Option<Ticket>,
-    stands: bool,
+    established: bool,
     /// The capacity of a zone that it takes up, where there is a plan for zones.
     slot: Option<Slot>,
 }
 
 /// Who a client is by what it named.
-fn client(team: Option<Arc<str>>, key: &Option<Arc<str>>) -> Option<ClientId> {
+fn client_id(team: Option<Arc<str>>, key: &Option<Arc<str>>) -> Option<ClientId> {
     Some((team, key.clone()?))
 }
 
-impl Book {
-    fn client(&self) -> Option<ClientId> {
-        client(self.team.clone(), &self.key)
+impl RequestRecord {
+    fn client_id(&self) -> Option<ClientId> {
+        client_id(self.team.clone(), &self.key)
     }
 
-    fn known<'a>(&'a self, call: &'a CallId) -> CommandIdentity<'a> {
+    fn identity<'a>(&'a self, call: &'a CallId) -> CommandIdentity<'a> {
         CommandIdentity { class: self.class, group: self.group.as_deref(), key: self.key.as_deref(), call }
     }
 
-    fn of(demand: &Demand, team: Option<&str>) -> Book {
+    fn from_demand(demand: &Demand, team: Option<&str>) -> RequestRecord {
         let (key, group) = (demand.key.clone(), demand.group.clone());
-        Book { class: demand.class, team: team.map(Into::into), key, group, ..Book::default() }
+        RequestRecord {
+            class: demand.class,
+            team: team.map(Into::into),
+            key,
+            group,
+            ..RequestRecord::default()
+        }
     }
 }
 
@@ -89,21 +95,21 @@
     /// Contracts between teams; none where the operator wrote none.
     contracts: Option<Contracts>,
     /// Slow rebalancing; none where the operator wants none.
-    rebalance: Option<Rebalancer>,
+    rebalancer: Option<Rebalancer>,
     /// Until when this balancer may rebalance: in a group, for as long as its lease lasts; for ever without one.
     rebalance_until: RebalanceUntil,
-    frame: FixedSettings,
+    fixed_settings: FixedSettings,
     /// The platform's own tenants, by name; the teams come behind them, by their number.
-    projects: Vec<String>,
+    tenant_names: Vec<String>,
     tenants: Vec<Tenant>,
-    books: BTreeMap<CallId, Book>,
+    requests: BTreeMap<CallId, RequestRecord>,
     load_history: LoadHistory,
     /// The fleet's plan for zones; none where the operator wants none.
-    zones: Option<ZoneRouter>,
+    zone_router: Option<ZoneRouter>,
     /// Connections that stand at the process before this one: their clients come here. Who named no key is under none.
-    older: BTreeMap<Option<ClientId>, Vec<CallId>>,
+    inherited: BTreeMap<Option<ClientId>, Vec<CallId>>,
     /// Instances that the list calls ready: size, and when each was started.
-    ready: BTreeMap<HostId, (f64, Micros)>,
+    ready_instances: BTreeMap<HostId, (f64, Micros)>,
 }
 
 impl Core {
@@ -111,52 +117,52 @@
     pub fn new(settings: Settings, names: &Names, seed: u64) -> Result<Core, SettingsError> {
         let worths = settings.classes.iter().map(|c| c.worth);
         Ok(Core {
-            frame: FixedSettings {
+            fixed_settings: FixedSettings {
                 classes: names.classes().iter().cloned().zip(worths).collect(),
                 balancers: settings.peers_total,
                 max_retry_after: settings.limits.max_retry_after,
             },
-            projects: names.tenants().to_vec(),
+            tenant_names: names.tenants().to_vec(),
             tenants: settings.tenants.clone(),
             policy: PlacementPolicy::new(settings, seed)?,
             ..Core::default()
         })
     }
 
-    /// Asks the contracts, where there are any, and says in the demand whose it is. One that was let in is then
+    /// Asks the contracts, where there are any, and says in the demand client it is. One that was let in is then
     /// told as [`Event::Demand`], or taken back with [`Core::withdraw`].
     pub fn admit(&mut self, now: Micros, demand: &mut Demand, team: Option<&str>) -> Result<(), Refused> {
-        let whose = client(team.map(Into::into), &demand.key);
+        let client = client_id(team.map(Into::into), &demand.key);
         if demand.returned || demand.repeat {
-            self.comes_over(now, &whose);
+            self.client_returned(now, &client);
         }
-        demand.hint = demand.hint.or_else(|| self.load_history.recent_load(now, whose.as_ref()?));
-        demand.tenant = team.and_then(|name| self.projects.iter().position(|p| p == name));
+        demand.hint = demand.hint.or_else(|| self.load_history.recent_load(now, client.as_ref()?));
+        demand.tenant = team.and_then(|name| self.tenant_names.iter().position(|p| p == name));
         let mut ticket = None;
         if let Some(contracts) = &mut self.contracts {
             let id = contracts.resolve_team(team, demand.class);
-            demand.tenant = Some(self.projects.len() + id);
+            demand.tenant = Some(self.tenant_names.len() + id);
             match contracts.request_admission(now, id, demand.class, &demand.call) {
                 Ok(taken) => ticket = Some(taken),
-                Err(no) => return Err(Refused { after: no.retry_after, reason: no.reason }),
+                Err(no) => return Err(Refused { retry_after: no.retry_after, reason: no.reason }),
             }
         }
         if let Some(most) = demand.tenant.and_then(|t| self.tenants.get(t)).and_then(|t| t.deadline) {
             demand.left = demand.left.min(most);
         }
-        let book = Book { ticket, ..Book::of(demand, team) };
-        if let Some(zones) = &mut self.zones {
-            match zones.choose_zones(now, &book.known(&demand.call)) {
+        let record = RequestRecord { ticket, ..RequestRecord::from_demand(demand, team) };
+        if let Some(zones) = &mut self.zone_router {
+            match zones.choose_zones(now, &record.identity(&demand.call)) {
                 Ok(chosen) => demand.zones = chosen,
-                Err(after) => {
-                    if let Some((ticket, contracts)) = book.ticket.zip(self.contracts.as_mut()) {
+                Err(retry_after) => {
+                    if let Some((ticket, contracts)) = record.ticket.zip(self.contracts.as_mut()) {
                         contracts.release(now, ticket, EndReason::NoInstance);
                     }
-                    return Err(Refused { after, reason: Reason::Placement });
+                    return Err(Refused { retry_after, reason: Reason::Placement });
                 }
             }
         }
-        self.books.insert(demand.call.clone(), book);
+        self.requests.insert(demand.call.clone(), record);
         Ok(())
     }
 
@@ -173,124 +179,137 @@
         team: Option<&str>,
         host: HostId,
     ) -> Vec<Action> {
-        demand.tenant = team.and_then(|name| self.projects.iter().position(|p| p == name));
-        let projects = self.projects.len();
+        demand.tenant = team.and_then(|name| self.tenant_names.iter().position(|p| p == name));
+        let projects = self.tenant_names.len();
         let ticket = self.contracts.as_mut().map(|contracts| {
             let id = contracts.resolve_team(team, demand.class);
             demand.tenant = Some(projects + id);
             contracts.adopt(now, id, demand.class, &demand.call)
         });
-        let slot = self.zones.as_mut().and_then(|zones| zones.adopt(host));
-        let book = Book { ticket, stands: true, host, slot, load: demand.hint, ..Book::of(&demand, team) };
-        self.books.insert(demand.call.clone(), book);
+        let slot = self.zone_router.as_mut().and_then(|zones| zones.adopt(host));
+        let record = RequestRecord {
+            ticket,
+            established: true,
+            host,
+            slot,
+            load: demand.hint,
+            ..RequestRecord::from_demand(&demand, team)
+        };
+        self.requests.insert(demand.call.clone(), record);
         let (event, mut actions) = (Event::Adopted(demand, host), Vec::new());
         tracing::debug!("told: {event:?}");
-        self.tell(now, event, &mut actions);
+        self.handle_event(now, event, &mut actions);
         actions
     }
 
     /// What stands here, for the process after this one.
-    pub fn stands(&self, now: Micros) -> Vec<HandedOverConnection> {
+    pub fn established_connections(&self, now: Micros) -> Vec<HandedOverConnection> {
         let text = |text: &Option<Arc<str>>| text.as_deref().map(String::from);
-        let usual = |book: &Book| self.load_history.recent_load(now, &book.client()?);
-        let stand = |book: &Book| {
-            let class = self.frame.classes.get(book.class)?.0.to_string();
-            let (team, key, group) = (text(&book.team), text(&book.key), text(&book.group));
+        let usual = |record: &RequestRecord| self.load_history.recent_load(now, &record.client_id()?);
+        let stand = |record: &RequestRecord| {
+            let class = self.fixed_settings.classes.get(record.class)?.0.to_string();
+            let (team, key, group) = (text(&record.team), text(&record.key), text(&record.group));
             Some(HandedOverConnection {
                 class,
                 team,
                 key,
                 group,
-                instance: book.host,
-                load: usual(book).or(book.load),
+                instance: record.host,
+                load: usual(record).or(record.load),
             })
         };
-        self.books.values().filter(|book| book.stands).filter_map(stand).collect()
+        self.requests.values().filter(|record| record.established).filter_map(stand).collect()
     }
 
     /// What stands at the process before this one: booked as if it stood here, until its client comes over or
-    /// [`Core::alone`] says that the other process has ended.
-    pub fn inherit(&mut self, now: Micros, stands: Vec<HandedOverConnection>) {
+    /// [`Core::predecessor_ended`] says that the other process has ended.
+    pub fn inherit_connections(&mut self, now: Micros, stands: Vec<HandedOverConnection>) {
         for (i, stand) in stands.into_iter().enumerate() {
-            let Some(class) = self.frame.classes.iter().position(|c| *c.0 == *stand.class) else { continue };
+            let Some(class) = self.fixed_settings.classes.iter().position(|c| *c.0 == *stand.class) else {
+                continue;
+            };
             // No client can choose such an id.
             let id = format!("older {i}");
             let key: Option<Arc<str>> = stand.key.map(Into::into);
             let (group, hint) = (stand.group.map(Into::into), stand.load.filter(|load| load.is_finite()));
-            let whose = client(stand.team.as_deref().map(Into::into), &key);
-            whose.iter().zip(hint).for_each(|(whose, load)| self.load_history.record(now, whose, load));
+            let client = client_id(stand.team.as_deref().map(Into::into), &key);
+            client.iter().zip(hint).for_each(|(client, load)| self.load_history.record(now, client, load));
             let demand = Demand { key, group, hint, ..Demand::new(&id, class, Micros::MAX / 4) };
             // It stands elsewhere: what moves it decides is decided there.
             self.adopt(now, demand, stand.team.as_deref(), stand.instance);
-            self.older.entry(whose).or_default().push(id.as_str().into());
+            self.inherited.entry(client).or_default().push(id.as_str().into());
         }
     }
 
     /// The process before this one has ended.
-    pub fn alone(&mut self, now: Micros) {
-        let left = std::mem::take(&mut self.older).into_values().flatten();
-        left.for_each(|call| self.tell(now, Event::Vanished { call }, &mut Vec::new()));
+    pub fn predecessor_ended(&mut self, now: Micros) {
+        let left = std::mem::take(&mut self.inherited).into_values().flatten();
+        left.for_each(|call| self.handle_event(now, Event::Vanished { call }, &mut Vec::new()));
     }
 
     /// A client that stood at the process before this one comes here.
-    fn comes_over(&mut self, now: Micros, whose: &Option<ClientId>) {
-        if whose.is_none() {
+    fn client_returned(&mut self, now: Micros, client: &Option<ClientId>) {
+        if client.is_none() {
             return;
         }
-        let Some(call) = self.older.get_mut(whose).and_then(Vec::pop) else { return };
-        self.tell(now, Event::Vanished { call }, &mut Vec::new());
+        let Some(call) = self.inherited.get_mut(client).and_then(Vec::pop) else { return };
+        self.handle_event(now, Event::Vanished { call }, &mut Vec::new());
     }
 
     /// The one way to the module; contracts learn what bears on them.
-    pub fn tell(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        if let Some(rebalance) = &mut self.rebalance {
-            watch(rebalance, now, &event);
+    pub fn handle_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        if let Some(rebalance) = &mut self.rebalancer {
+            observe_for_rebalancing(rebalance, now, &event);
         }
         match &event {
-            Event::Members { kind, hosts } => self.listed(now, *kind, hosts),
+            Event::Members { kind, hosts } => self.update_instances(now, *kind, hosts),
             Event::Opened { call, host, elapsed } => {
-                self.seen(now, *host, true);
-                if let Some(book) = self.books.get_mut(call) {
-                    (book.stands, book.host) = (true, *host);
-                    if let Some(zones) = &mut self.zones {
-                        zones.record_established(now, &book.known(call), *host, *elapsed);
-                        book.slot.iter_mut().for_each(|slot| zones.establish(slot));
+                self.record_attempt(now, *host, true);
+                if let Some(record) = self.requests.get_mut(call) {
+                    (record.established, record.host) = (true, *host);
+                    if let Some(zones) = &mut self.zone_router {
+                        zones.record_established(now, &record.identity(call), *host, *elapsed);
+                        record.slot.iter_mut().for_each(|slot| zones.establish(slot));
                     }
-                    if let Some((ticket, contracts)) = book.ticket.as_ref().zip(self.contracts.as_mut()) {
+                    if let Some((ticket, contracts)) = record.ticket.as_ref().zip(self.contracts.as_mut()) {
                         contracts.mark_established(ticket);
                     }
                 }
             }
             Event::LoadNote { call, load } => {
-                if let Some(book) = self.books.get_mut(call) {
-                    book.load = Some(*load);
-                    book.client().iter().for_each(|whose| self.load_history.record(now, whose, *load));
+                if let Some(record) = self.requests.get_mut(call) {
+                    record.load = Some(*load);
+                    record.client_id().iter().for_each(|client| self.load_history.record(now, client, *load));
                 }
             }
             Event::Finished { call, host, outcome, ended, .. } => {
-                let stands = self.books.get(call).is_some_and(|book| book.stands);
-                if let Some(zones) = &mut self.zones {
-                    zones.record_ended(now, *host, stands, *outcome);
+                let established = self.requests.get(call).is_some_and(|record| record.established);
+                if let Some(zones) = &mut self.zone_router {
+                    zones.record_ended(now, *host, established, *outcome);
                 }
-                if !stands && matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout) {
-                    self.seen(now, *host, false);
+                if !established && matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout) {
+                    self.record_attempt(now, *host, false);
                 }
                 if *ended {
                     self.release(
                         now,
                         call,
-                        if stands { EndReason::Closed } else { EndReason::NotEstablished },
+                        if established { EndReason::Closed } else { EndReason::NotEstablished },
                     );
                 } else {
-                    self.vacate(call);
+                    self.free_slot(call);
                 }
             }
             Event::Vanished { call } => {
-                let stands = self.books.get(call).is_some_and(|book| book.stands);
-                self.release(now, call, if stands { EndReason::Closed } else { EndReason::NotEstablished });
+                let established = self.requests.get(call).is_some_and(|record| record.established);
+                self.release(
+                    now,
+                    call,
+                    if established { EndReason::Closed } else { EndReason::NotEstablished },
+                );
             }
             Event::Probed { host, outcome, .. } => {
-                if let Some(zones) = &mut self.zones {
+                if let Some(zones) = &mut self.zone_router {
                     zones.record_probe(now, *host, *outcome == Outcome::Ok);
                 }
             }
@@ -300,39 +319,43 @@
         self.policy.handle(now, event, actions);
         let mut n = first;
         while n < actions.len() {
-            if self.beyond_lease(now, &actions[n]) {
+            if self.exceeds_capacity_lease(now, &actions[n]) {
                 // It was never sent: the module decides what else becomes of the request.
                 let unsent = actions.remove(n);
-                self.take_back(now, unsent, actions);
+                self.cancel_unsent(now, unsent, actions);
             } else {
-                self.book_action(now, &actions[n]);
+                self.record_action(now, &actions[n]);
                 n += 1;
             }
         }
     }
 
     /// Whether an action would send more to a zone than this balancer's capacity lease allows.
-    fn beyond_lease(&mut self, now: Micros, action: &Action) -> bool {
-        match (action, &mut self.zones) {
+    fn exceeds_capacity_lease(&mut self, now: Micros, action: &Action) -> bool {
+        match (action, &mut self.zone_router) {
             (Action::Send { host, .. }, Some(zones)) => !zones.may_send(now, *host),
             _ => false,
         }
     }
 
-    fn take_back(&mut self, now: Micros, unsent: Action, actions: &mut Vec<Action>) {
+    fn cancel_unsent(&mut self, now: Micros, unsent: Action, actions: &mut Vec<Action>) {
         let Action::Send { call, host, .. } = unsent else { return };
         let (outcome, elapsed) = (Outcome::Moot, 0);
         let event = Event::Finished { call, attempt: 0, host, outcome, elapsed, ended: false };
         self.policy.handle(now, event, actions);
     }
 
-    fn book_action(&mut self, now: Micros, action: &Action) {
-        if let (Action::Refuse { call, .. } | Action::Fail { call }, Some(zones)) = (action, &mut self.zones)
+    fn record_action(&mut self, now: Micros, action: &Action) {
+        if let (Action::Refuse { call, .. } | Action::Fail { call }, Some(zones)) =
+            (action, &mut self.zone_router)
         {
-            self.books.get(call).iter().for_each(|book| zones.record_unserved(now, &book.known(call)));
+            self.requests
+                .get(call)
+                .iter()
+                .for_each(|record| zones.record_unserved(now, &record.identity(call)));
         }
         match action {
-            Action::Send { call, host, .. } => self.occupy(call, *host),
+            Action::Send { call, host, .. } => self.occupy_slot(call, *host),
             Action::Refuse { call, .. } => self.release(now, call, EndReason::NoInstance),
             Action::Fail { call } => self.release(now, call, EndReason::NotEstablished),
             _ => {}
@@ -340,63 +363,69 @@
     }
 
     /// An attempt takes up capacity of its server's zone from its send on.
-    fn occupy(&mut self, call: &CallId, host: HostId) {
-        let Some((book, zones)) = self.books.get_mut(call).zip(self.zones.as_mut()) else { return };
-        book.slot = zones.send(call, host);
+    fn occupy_slot(&mut self, call: &CallId, host: HostId) {
+        let Some((record, zones)) = self.requests.get_mut(call).zip(self.zone_router.as_mut()) else {
+            return;
+        };
+        record.slot = zones.send(call, host);
     }
 
     /// An attempt is over: its capacity is free.
-    fn vacate(&mut self, call: &CallId) {
-        let Some((book, zones)) = self.books.get_mut(call).zip(self.zones.as_mut()) else { return };
-        book.slot.take().into_iter().for_each(|slot| zones.release(slot));
+    fn free_slot(&mut self, call: &CallId) {
+        let Some((record, zones)) = self.requests.get_mut(call).zip(self.zone_router.as_mut()) else {
+            return;
+        };
+        record.slot.take().into_iter().for_each(|slot| zones.release(slot));
     }
 
     fn release(&mut self, now: Micros, call: &CallId, end: EndReason) {
-        self.vacate(call);
-        let ticket = self.books.remove(call).and_then(|book| book.ticket);
+        self.free_slot(call);
+        let ticket = self.requests.remove(call).and_then(|record| record.ticket);
         if let Some((ticket, contracts)) = ticket.zip(self.contracts.as_mut()) {
             contracts.release(now, ticket, end);
         }
     }
 
-    fn listed(&mut self, now: Micros, kind: ListKind, hosts: &[Entry]) {
-        self.zones.iter_mut().for_each(|zones| zones.update_instances(kind, hosts));
+    fn update_instances(&mut self, now: Micros, kind: ListKind, hosts: &[Entry]) {
+        self.zone_router.iter_mut().for_each(|zones| zones.update_instances(kind, hosts));
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.ready.clear();
+            self.ready_instances.clear();
         }
         for entry in hosts {
             match entry.state {
-                HostState::Ready => self.ready.insert(entry.host, (entry.weight, entry.ready_at)),
-                HostState::Draining | HostState::Gone => self.ready.remove(&entry.host),
+                HostState::Ready => self.ready_instances.insert(entry.host, (entry.weight, entry.ready_at)),
+                HostState::Draining | HostState::Gone => self.ready_instances.remove(&entry.host),
             };
         }
         if let Some(contracts) = &mut self.contracts {
-            contracts
-                .set_ready_instances(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
+            contracts.set_ready_instances(
+                now,
+                self.ready_instances.iter().map(|(&host, &(size, at))| (host, size, at)),
+            );
         }
     }
 
     /// An attempt that nobody answers, or one that is served, tells whether its instance is there.
-    fn seen(&mut self, now: Micros, host: HostId, served: bool) {
+    fn record_attempt(&mut self, now: Micros, host: HostId, served: bool) {
         if let Some(contracts) = &mut self.contracts {
             contracts.record_attempt(now, host, served);
         }
     }
 
-    /// When [`Core::turn`] is to be called next, if nothing happens before.
-    pub fn due(&mut self, now: Micros) -> Option<Micros> {
+    /// When [`Core::run_due`] is to be called next, if nothing happens before.
+    pub fn next_due(&mut self, now: Micros) -> Option<Micros> {
         let contracts = self.contracts.as_mut().and_then(|contracts| contracts.next_due(now));
-        let rebalance = self.rebalance.as_ref().filter(|_| self.rebalance_until.allows(now));
+        let rebalance = self.rebalancer.as_ref().filter(|_| self.rebalance_until.allows(now));
         contracts.into_iter().chain(rebalance.map(|r| r.next_due(now))).min()
     }
 
     /// Does what is due without an event.
-    pub fn turn(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub fn run_due(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if let Some(contracts) = &mut self.contracts {
             actions.extend(contracts.run_due(now).into_iter().map(|call| Action::Move { call }));
         }
         // One cause of moves at a time: what contracts want comes first.
-        if let Some(rebalance) = self.rebalance.as_mut().filter(|_| self.rebalance_until.allows(now)) {
+        if let Some(rebalance) = self.rebalancer.as_mut().filter(|_| self.rebalance_until.allows(now)) {
             if !actions.is_empty() {
                 rebalance.pause(now, "contracts move connections");
             }
@@ -410,37 +439,38 @@
     }
 
     /// Rebalancing by these terms from now on, or none.
-    pub fn rebalance(&mut self, now: Micros, terms: Option<rebalance::RebalanceSettings>) {
-        if self.rebalance.as_ref().map(Rebalancer::settings) == terms.as_ref() {
+    pub fn set_rebalance(&mut self, now: Micros, terms: Option<rebalance::RebalanceSettings>) {
+        if self.rebalancer.as_ref().map(Rebalancer::settings) == terms.as_ref() {
             return;
         }
-        let FixedSettings { classes, balancers, .. } = &self.frame;
-        self.rebalance = terms.map(|terms| Rebalancer::new(now, terms, classes, *balancers));
-        if let Some(rebalance) = &mut self.rebalance {
+        let FixedSettings { classes, balancers, .. } = &self.fixed_settings;
+        self.rebalancer = terms.map(|terms| Rebalancer::new(now, terms, classes, *balancers));
+        if let Some(rebalance) = &mut self.rebalancer {
             // How long they have stood is not known: as if since now.
-            let standing = self.books.iter().filter(|(_, book)| book.stands);
+            let standing = self.requests.iter().filter(|(_, record)| record.established);
             standing.for_each(|(call, _)| rebalance.connection_established(now, call));
         }
     }
 
     /// Zones by the fleet's plan from now on.
-    pub fn zones(&mut self, terms: crate::failover::FailoverSettings, context: BalancerContext) {
-        self.zones = Some(ZoneRouter::new(terms, context));
+    pub fn enable_zones(&mut self, terms: crate::failover::FailoverSettings, context: BalancerContext) {
+        self.zone_router = Some(ZoneRouter::new(terms, context));
     }
 
     /// The fleet's plan as the record has it; whom it moves now, and which plan is followed if that has changed.
-    pub fn follow(&mut self, now: Micros, plan: Option<&Plan>) -> (Vec<Action>, Option<Option<u64>>) {
-        let Some(zones) = &mut self.zones else { return (Vec::new(), None) };
+    pub fn follow_plan(&mut self, now: Micros, plan: Option<&Plan>) -> (Vec<Action>, Option<Option<u64>>) {
+        let Some(zones) = &mut self.zone_router else { return (Vec::new(), None) };
         let changed = zones.receive_plan(now, plan);
-        let standing = self.books.iter().filter(|(_, book)| book.stands);
-        let moves = zones.next_moves(now, standing.map(|(call, book)| (book.known(call), book.host)));
+        let standing = self.requests.iter().filter(|(_, record)| record.established);
+        let moves =
+            zones.next_moves(now, standing.map(|(call, record)| (record.identity(call), record.host)));
         (moves.into_iter().map(|call| Action::Move { call }).collect(), changed)
     }
 
     /// What was seen of the zones here, and instances that are to be probed for it.
     pub fn digest(&mut self, now: Micros) -> Option<(Digest, Vec<HostId>)> {
-        let zones = self.zones.as_mut()?;
-        let classes = self.books.values().map(|book| book.class);
+        let zones = self.zone_router.as_mut()?;
+        let classes = self.requests.values().map(|record| record.class);
         Some((zones.digest(now, classes), zones.next_probes(now)))
     }
 
@@ -450,34 +480,36 @@
     }
 
     /// Moves are made for another cause: rebalancing rests.
-    pub fn rests(&mut self, now: Micros, cause: &'static str) {
-        if let Some(rebalance) = &mut self.rebalance {
+    pub fn pause_rebalance(&mut self, now: Micros, cause: &'static str) {
+        if let Some(rebalance) = &mut self.rebalancer {
             rebalance.pause(now, cause);
         }
     }
 
     /// What the rebalancer has to tell.
-    pub fn notes(&mut self) -> Vec<PlanEvent> {
-        self.rebalance.as_mut().map(Rebalancer::take_events).unwrap_or_default()
+    pub fn take_rebalance_events(&mut self) -> Vec<PlanEvent> {
+        self.rebalancer.as_mut().map(Rebalancer::take_events).unwrap_or_default()
     }
 
     /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
-    pub fn contract(&mut self, now: Micros, terms: Option<Terms>) -> Vec<TermsChange> {
+    pub fn set_contracts(&mut self, now: Micros, terms: Option<Terms>) -> Vec<TermsChange> {
         let changes = match (&mut self.contracts, terms) {
             (Some(contracts), Some(terms)) => contracts.apply_terms(now, terms),
             (None, Some(terms)) => {
-                let mut contracts = Contracts::new(now, self.frame.clone(), Terms::default());
-                contracts
-                    .set_ready_instances(now, self.ready.iter().map(|(&host, &(size, at))| (host, size, at)));
+                let mut contracts = Contracts::new(now, self.fixed_settings.clone(), Terms::default());
+                contracts.set_ready_instances(
+                    now,
+                    self.ready_instances.iter().map(|(&host, &(size, at))| (host, size, at)),
+                );
                 let changes = contracts.apply_terms(now, terms);
                 // What is in hand counts from now on; where it was asked for is past.
-                for (call, book) in &mut self.books {
-                    let team = contracts.resolve_team(book.team.as_deref(), book.class);
-                    let ticket = contracts.count_existing(now, team, book.class, call);
-                    if book.stands {
+                for (call, record) in &mut self.requests {
+                    let team = contracts.resolve_team(record.team.as_deref(), record.class);
+                    let ticket = contracts.count_existing(now, team, record.class, call);
+                    if record.established {
                         contracts.mark_established(&ticket);
                     }
-                    book.ticket = Some(ticket);
+                    record.ticket = Some(ticket);
                 }
                 self.contracts = Some(contracts);
                 changes
@@ -485,14 +517,14 @@
             (Some(contracts), None) => {
                 let changes = contracts.apply_terms(now, Terms::default());
                 self.contracts = None;
-                self.books.values_mut().for_each(|book| book.ticket = None);
+                self.requests.values_mut().for_each(|record| record.ticket = None);
                 changes
             }
             (None, None) => return Vec::new(),
         };
-        self.tenants.truncate(self.projects.len());
+        self.tenants.truncate(self.tenant_names.len());
         let teams = self.contracts.iter().flat_map(Contracts::team_contracts);
-        self.tenants.extend(teams.map(|c| tenant(c, self.frame.balancers)));
+        self.tenants.extend(teams.map(|c| tenant_from_contract(c, self.fixed_settings.balancers)));
         let mut actions = Vec::new();
         self.policy.handle(now, Event::Tenants(self.tenants.clone()), &mut actions);
         debug_assert!(actions.is_empty(), "other tenants decide nothing");
@@ -505,23 +537,23 @@
     }
 
     /// Whether an attempt that was decided on may still be sent, as the module sees it.
-    pub fn may_still(&self, now: Micros, call: &CallId, host: HostId) -> bool {
+    pub fn attempt_still_allowed(&self, now: Micros, call: &CallId, host: HostId) -> bool {
         self.policy.attempt_still_allowed(now, call, host)
     }
 
     /// How many instances may be sent something new, as the module sees them.
-    pub fn takes(&self, now: Micros) -> usize {
+    pub fn accepting_instances(&self, now: Micros) -> usize {
         self.policy.hosts(now).iter().filter(|host| host.accepts_connections).count()
     }
 
     /// Whether this id is in hand already.
-    pub fn knows(&self, call: &str) -> bool {
-        self.books.contains_key(call)
+    pub fn has_request(&self, call: &str) -> bool {
+        self.requests.contains_key(call)
     }
 }
 
 /// What of the events bears on rebalancing: who stands, and trouble, which makes it rest.
-fn watch(rebalance: &mut Rebalancer, now: Micros, event: &Event) {
+fn observe_for_rebalancing(rebalance: &mut Rebalancer, now: Micros, event: &Event) {
     match event {
         Event::Opened { call, .. } | Event::Adopted(Demand { call, .. }, _) => {
             rebalance.connection_established(now, call)
@@ -547,7 +579,7 @@
 }
 
 /// A contract as the module has it: what bears on retries.
-fn tenant(contract: &Contract, balancers: u32) -> Tenant {
+fn tenant_from_contract(contract: &Contract, balancers: u32) -> Tenant {
     let part = 1.0 / f64::from(balancers.max(1));
     Tenant {
         fraction: 1.0,
--- a/src/broker/core_tests.rs
+++ b/src/broker/core_tests.rs
@@ -24,8 +24,8 @@
     let settings = Settings { classes: vec![class], peers_total: 1, ..Settings::default() };
     let mut core = Core::new(settings, &names, 1).unwrap();
     let list = Event::Members { kind: ListKind::Cached, hosts: (1..=hosts).map(Entry::ready).collect() };
-    core.tell(S, list, &mut Vec::new());
-    core.contract(S, Some(Terms { contracts: teams.to_vec(), ..Terms::default() }));
+    core.handle_event(S, list, &mut Vec::new());
+    core.set_contracts(S, Some(Terms { contracts: teams.to_vec(), ..Terms::default() }));
     core
 }
 
@@ -37,14 +37,14 @@
         return false;
     }
     let mut actions = Vec::new();
-    core.tell(now, Event::Demand(demand), &mut actions);
+    core.handle_event(now, Event::Demand(demand), &mut actions);
     let Some(host) = actions.iter().find_map(|a| match a {
         Action::Send { host, .. } => Some(*host),
         _ => None,
     }) else {
         return false;
     };
-    core.tell(now, Event::Opened { call, host, elapsed: 1 }, &mut actions);
+    core.handle_event(now, Event::Opened { call, host, elapsed: 1 }, &mut actions);
     true
 }
 
@@ -62,7 +62,7 @@
         let up = |core: &mut Core, i: usize| ask(core, S, &format!("o{i}"), &format!("k{i}"), false);
         let stood = (0..room).filter(|&i| up(&mut old, i)).count();
         prop_assert_eq!(stood, room);
-        new.inherit(S, old.stands(S));
+        new.inherit_connections(S, old.established_connections(S));
         let (mut at_old, mut at_new): (BTreeSet<usize>, usize) = ((0..room).collect(), 0);
         for (n, (back, i)) in comes.into_iter().enumerate() {
             let i = i % room;
@@ -76,7 +76,7 @@
                     elapsed: S,
                     ended: true,
                 };
-                old.tell(S, gone, &mut Vec::new());
+                old.handle_event(S, gone, &mut Vec::new());
                 let has_its_place = ask(&mut new, S, &format!("n{n}"), &format!("k{i}"), true);
                 prop_assert!(has_its_place);
                 at_new += 1;
@@ -85,7 +85,7 @@
             }
             prop_assert!(at_old.len() + at_new <= room, "{} and {at_new} of {room}", at_old.len());
         }
-        new.alone(S);
+        new.predecessor_ended(S);
         let more = (0..room).filter(|i| ask(&mut new, S, &format!("l{i}"), &format!("late{i}"), false)).count();
         prop_assert_eq!(at_new + more, room);
     }
@@ -96,7 +96,7 @@
 fn a_client_that_comes_again_is_placed_by_the_load_that_it_had() {
     let mut core = core(2, &[]);
     assert!(ask(&mut core, S, "a", "k", false));
-    core.tell(S, Event::LoadNote { call: "a".into(), load: 763_000.0 }, &mut Vec::new());
+    core.handle_event(S, Event::LoadNote { call: "a".into(), load: 763_000.0 }, &mut Vec::new());
     let mut demand = Demand { key: Some("k".into()), ..Demand::new("b", 0, S) };
     core.admit(2 * S, &mut demand, Some("south")).unwrap();
     assert_eq!(demand.hint, Some(763_000.0));
@@ -116,11 +116,11 @@
     for (id, team, load) in [("n", "north", 763_000.0), ("s", "south", 5_000.0)] {
         let (mut demand, call) = (demand(id), CallId::from(id));
         old.admit(S, &mut demand, Some(team)).unwrap();
-        old.tell(S, Event::Demand(demand), &mut Vec::new());
-        old.tell(S, Event::Opened { call: call.clone(), host: 1, elapsed: 1 }, &mut Vec::new());
-        old.tell(S, Event::LoadNote { call, load }, &mut Vec::new());
+        old.handle_event(S, Event::Demand(demand), &mut Vec::new());
+        old.handle_event(S, Event::Opened { call: call.clone(), host: 1, elapsed: 1 }, &mut Vec::new());
+        old.handle_event(S, Event::LoadNote { call, load }, &mut Vec::new());
     }
-    new.inherit(S, old.stands(S));
+    new.inherit_connections(S, old.established_connections(S));
     // North's comes over first: it has north's place and load, and south's one is held still.
     let mut back = demand("back");
     assert!(new.admit(S, &mut back, Some("north")).is_ok());
@@ -138,7 +138,7 @@
 /// A core whose clients all stand away from home: their home started again and is warm, at 500 s.
 fn core_with_strays() -> Core {
     let mut core = core(3, &[]);
-    core.rebalance(
+    core.set_rebalance(
         S,
         Some(crate::rebalance::RebalanceSettings { moves_per_second: 1_000.0, ..Default::default() }),
     );
@@ -147,9 +147,9 @@
         kind: ListKind::Full,
         hosts: vec![entry(1, state, ready_at), Entry::ready(2), Entry::ready(3)],
     };
-    core.tell(2 * S, list(HostState::Draining, 0), &mut Vec::new());
+    core.handle_event(2 * S, list(HostState::Draining, 0), &mut Vec::new());
     (0..60).for_each(|i| assert!(ask(&mut core, 3 * S, &format!("c{i}"), &format!("k{i}"), false)));
-    core.tell(100 * S, list(HostState::Ready, 90 * S), &mut Vec::new());
+    core.handle_event(100 * S, list(HostState::Ready, 90 * S), &mut Vec::new());
     core
 }
 
@@ -159,7 +159,7 @@
     let moves = |until: Option<Micros>| {
         let (mut core, mut actions) = (core_with_strays(), Vec::new());
         until.into_iter().for_each(|until| core.may_rebalance_until(until));
-        core.turn(500 * S, &mut actions);
+        core.run_due(500 * S, &mut actions);
         actions.len()
     };
     assert!(moves(None) > 0, "without a group there is no lease to wait for");
@@ -167,5 +167,5 @@
     assert_eq!(moves(Some(500 * S)), 0, "the lease has ended and nobody has said so yet");
     let mut core = core_with_strays();
     core.may_rebalance_until(500 * S);
-    assert_eq!(core.due(500 * S), None);
+    assert_eq!(core.next_due(500 * S), None);
 }
--- a/src/broker/front.rs
+++ b/src/broker/front.rs
@@ -57,7 +57,7 @@
     /// while the connection was made, or the window of a repeat may have closed.
     pub fn may_send(&self) -> bool {
         let state = self.broker.state.borrow();
-        let allowed = state.core.may_still(self.broker.now(), &self.call, self.instance);
+        let allowed = state.core.attempt_still_allowed(self.broker.now(), &self.call, self.instance);
         allowed && state.instances.is_ready(self.instance)
     }
 
--- a/src/broker/lease_tests.rs
+++ b/src/broker/lease_tests.rs
@@ -39,13 +39,13 @@
         balancer_count: 1,
         ..BalancerContext::default()
     };
-    core.zones(
+    core.enable_zones(
         failover::FailoverSettings { changeover_window: 1, ..failover::FailoverSettings::default() },
         context,
     );
     let entry = |(host, zone)| Entry { zone: Some(zone), ..Entry::ready(host) };
     let hosts = HOSTS.map(entry).to_vec();
-    core.tell(S, Event::Members { kind: ListKind::Cached, hosts }, &mut Vec::new());
+    core.handle_event(S, Event::Members { kind: ListKind::Cached, hosts }, &mut Vec::new());
     let shares = vec![("a".to_string(), 1_000 - share_of_b), ("b".to_string(), share_of_b)];
     let fallback = has_fallback.then(|| "b".to_string());
     let zone = ZonePlan {
@@ -57,8 +57,8 @@
     let grant = Grant { started: 1, limits: limits.to_vec(), reserved: limits.to_vec() };
     let zones = [("a".to_string(), zone), ("b".to_string(), ZonePlan::default())].into();
     let plan = Plan { serial: 1, zones, grants: [("n1".to_string(), grant)].into(), ..Plan::default() };
-    core.follow(S, Some(&plan));
-    core.follow(S + 1, Some(&plan));
+    core.follow_plan(S, Some(&plan));
+    core.follow_plan(S + 1, Some(&plan));
     core
 }
 
@@ -66,7 +66,7 @@
     let mut demand = Demand::new(id, 0, 2 * S);
     let mut actions = Vec::new();
     if core.admit(S + 2, &mut demand, None).is_ok() {
-        core.tell(S + 2, Event::Demand(demand), &mut actions);
+        core.handle_event(S + 2, Event::Demand(demand), &mut actions);
     }
     actions
 }
@@ -91,9 +91,13 @@
     assert!(all.iter().all(|(_, host)| *host >= 3), "{all:?}");
     // An established connection still counts; an ended one does not.
     let mut actions = Vec::new();
-    core.tell(S + 3, Event::Opened { call: all[0].0.clone(), host: all[0].1, elapsed: 1 }, &mut actions);
+    core.handle_event(
+        S + 3,
+        Event::Opened { call: all[0].0.clone(), host: all[0].1, elapsed: 1 },
+        &mut actions,
+    );
     assert_eq!(sent(&request(&mut core, "more")), []);
-    core.tell(S + 4, finished(&all[0].0, all[0].1, Outcome::Ok, true), &mut actions);
+    core.handle_event(S + 4, finished(&all[0].0, all[0].1, Outcome::Ok, true), &mut actions);
     assert_eq!(sent(&request(&mut core, "again")).len(), 1);
     assert_eq!(sent(&request(&mut core, "full")), []);
 }
@@ -107,7 +111,7 @@
     let (mut in_b, mut answers) = (Vec::new(), Vec::new());
     while let Some((call, host)) = open.pop() {
         let mut actions = Vec::new();
-        core.tell(S + 3, finished(&call, host, Outcome::ConnectFailed, false), &mut actions);
+        core.handle_event(S + 3, finished(&call, host, Outcome::ConnectFailed, false), &mut actions);
         for action in &actions {
             if let Action::Refuse { call, .. } | Action::Fail { call } = action {
                 answers.push(call.clone());
@@ -130,11 +134,11 @@
     let mut core = balancer(1_000, false, [0, 1]);
     let (call, host) = sent(&request(&mut core, "first"))[0].clone();
     let mut actions = Vec::new();
-    core.tell(S + 3, Event::Opened { call: call.clone(), host, elapsed: 1 }, &mut actions);
+    core.handle_event(S + 3, Event::Opened { call: call.clone(), host, elapsed: 1 }, &mut actions);
     let others = HOSTS.into_iter().filter(|(other, _)| *other != host);
     let hosts = others.map(|(host, zone)| Entry { zone: Some(zone), ..Entry::ready(host) }).collect();
-    core.tell(S + 4, Event::Members { kind: ListKind::Full, hosts }, &mut actions);
+    core.handle_event(S + 4, Event::Members { kind: ListKind::Full, hosts }, &mut actions);
     assert_eq!(sent(&request(&mut core, "second")), []);
-    core.tell(S + 5, finished(&call, host, Outcome::Reset, true), &mut actions);
+    core.handle_event(S + 5, finished(&call, host, Outcome::Reset, true), &mut actions);
     assert_eq!(sent(&request(&mut core, "third")).len(), 1);
 }
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -255,14 +255,14 @@
     fn tell(&self, event: Event) {
         let (mut actions, state) = (Vec::new(), &mut *self.state.borrow_mut());
         tracing::debug!("told: {event:?}");
-        state.core.tell(self.now(), event, &mut actions);
+        state.core.handle_event(self.now(), event, &mut actions);
         self.carry_out(state, actions);
         self.look(state);
     }
 
     /// Has the core looked at when it next wants it.
     fn look(&self, state: &mut State) {
-        let due = state.core.due(self.now()).unwrap_or(Micros::MAX);
+        let due = state.core.next_due(self.now()).unwrap_or(Micros::MAX);
         if due < self.turn_at.get() {
             self.turn_at.set(due);
             self.sooner.notify_one();
@@ -339,7 +339,7 @@
         };
         if let Err(no) = admitted {
             tracing::debug!(team, reason = no.reason.name(), "refused by contract");
-            return Err(Refused(no.after));
+            return Err(Refused(no.retry_after));
         }
         // Counted before it is placed: one that cannot have its link must not fail at its instance.
         let Some(both) = self.reserve_descriptors(CONNECTION) else {
@@ -374,8 +374,8 @@
         loop {
             {
                 let (mut actions, state) = (Vec::new(), &mut *self.state.borrow_mut());
-                state.core.turn(self.now(), &mut actions);
-                for note in state.core.notes() {
+                state.core.run_due(self.now(), &mut actions);
+                for note in state.core.take_rebalance_events() {
                     match note {
                         PlanEvent::Started(n, worst) => tracing::info!(n, worst, "rebalancing begins"),
                         PlanEvent::Paused(cause) => tracing::info!(cause, "rebalancing rests"),
@@ -385,7 +385,7 @@
                     }
                 }
                 self.carry_out(state, actions);
-                self.turn_at.set(state.core.due(self.now()).unwrap_or(Micros::MAX));
+                self.turn_at.set(state.core.next_due(self.now()).unwrap_or(Micros::MAX));
             }
             tokio::select! {
                 () = self.sleep_until(self.turn_at.get().max(self.now() + TURN)) => {}
@@ -397,7 +397,7 @@
     /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
     pub fn set_contracts(&self, terms: Option<Terms>) -> Vec<TermsChange> {
         let state = &mut *self.state.borrow_mut();
-        let changes = state.core.contract(self.now(), terms);
+        let changes = state.core.set_contracts(self.now(), terms);
         self.look(state);
         changes
     }
@@ -405,19 +405,19 @@
     /// Slow rebalancing by these terms from now on, or none.
     pub fn set_rebalance(&self, terms: Option<crate::rebalance::RebalanceSettings>) {
         let state = &mut *self.state.borrow_mut();
-        state.core.rebalance(self.now(), terms);
+        state.core.set_rebalance(self.now(), terms);
         self.look(state);
     }
 
     /// Zones by the fleet's plan from now on.
     pub fn enable_zones(&self, terms: crate::failover::FailoverSettings, context: zones::BalancerContext) {
-        self.state.borrow_mut().core.zones(terms, context);
+        self.state.borrow_mut().core.enable_zones(terms, context);
     }
 
     /// The fleet's plan as the record has it: whoever it has elsewhere is asked to move, at the fleet's pace.
     pub fn follow_plan(&self, plan: Option<&Plan>) {
         let state = &mut *self.state.borrow_mut();
-        let (moves, changed) = state.core.follow(self.now(), plan);
+        let (moves, changed) = state.core.follow_plan(self.now(), plan);
         match changed {
             Some(Some(serial)) => tracing::info!(serial, "zones: another plan is followed"),
             Some(None) => tracing::warn!("zones: no plan is valid any more: this balancer judges alone"),
@@ -454,7 +454,7 @@
 
     fn members(&self) -> MemberCounts {
         let state = self.state.borrow();
-        let (listed, takes) = (state.instances.listed_count(), state.core.takes(self.now()));
+        let (listed, takes) = (state.instances.listed_count(), state.core.accepting_instances(self.now()));
         MemberCounts { listed, unavailable: listed.saturating_sub(takes) }
     }
 
@@ -486,19 +486,19 @@
 
     /// What stands here, for the process after this one.
     pub fn established_connections(&self) -> Vec<HandedOverConnection> {
-        self.state.borrow().core.stands(self.now())
+        self.state.borrow().core.established_connections(self.now())
     }
 
     /// What stands at the process before this one.
     pub fn inherit_connections(&self, stands: Vec<HandedOverConnection>) {
         let state = &mut *self.state.borrow_mut();
-        state.core.inherit(self.now(), stands);
+        state.core.inherit_connections(self.now(), stands);
         self.look(state);
     }
 
     /// The process before this one has ended.
     pub fn predecessor_ended(&self) {
-        self.state.borrow_mut().core.alone(self.now());
+        self.state.borrow_mut().core.predecessor_ended(self.now());
     }
 
     /// Clients are taken from now on.
@@ -526,7 +526,7 @@
             }
             self.sleep(TURN).await;
             let state = &mut *self.state.borrow_mut();
-            state.core.rests(self.now(), "the balancer drains");
+            state.core.pause_rebalance(self.now(), "the balancer drains");
             let moves = self.drain.borrow_mut().moves(self.now(), state.standing.len());
             for call in state.standing.drain(..moves) {
                 if let Some(command) = state.commands.get(&call) {
