--- a/src/broker/command.rs
+++ b/src/broker/command.rs
@@ -2,21 +2,21 @@
 
 use super::front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
 use super::metrics::{CommandMetrics, CommandResult};
-use super::{Broker, Descriptors, Refused, Word, ANSWER_AHEAD, CONNECTION};
+use super::{Broker, DescriptorReservation, Instruction, Refused, ANSWER_MARGIN, DESCRIPTORS_PER_CONNECTION};
 use crate::api::*;
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedReceiver;
 
 /// News of slow messages comes once a second and instance, as the module's event means it.
-const SLOW_EVERY: Micros = 1_000_000;
+const SLOW_REPORT_INTERVAL: Micros = 1_000_000;
 /// A load is told with `UP`: a figure that comes later than this after it is no opening one. At an instance that
 /// is overloaded the first that comes may be a time, for a connection that is idle tells no load.
-const OPENING: Micros = 50_000;
+const OPENING_LOAD_WINDOW: Micros = 50_000;
 /// A connection on which an instance brings nothing back for a message is ended after this long: it may have
 /// stopped up to two seconds before the message, and is owed its end within seven.
 pub const SILENCE_TIMEOUT: Micros = 4_500_000;
 /// And sooner where the instance works, for others heard of it meanwhile: then this connection alone has stopped.
-const ALONE: Micros = 3_000_000;
+const SINGLE_SILENCE_TIMEOUT: Micros = 3_000_000;
 
 /// A command's life, from its arrival to its final answer and on to the end of its connection.
 pub async fn run_command<C, D>(
@@ -30,50 +30,50 @@
     D: Dialer<Link = C::Link>,
 {
     let command_metrics = broker.count_command(demand.class);
-    let mut command = match broker.take(demand, team) {
+    let mut command = match broker.accept(demand, team) {
         Ok(command) => command,
-        Err(Refused(after)) => {
+        Err(Refused(retry_after)) => {
             command_metrics.record_result(CommandResult::Rejected);
-            return client.nack(after).await;
+            return client.nack(retry_after).await;
         }
     };
     let link = loop {
         // The module's next word: it may be waiting for a probe.
-        let word = tokio::select! {
+        let instruction = tokio::select! {
             biased;
-            gone = client.wait_gone() => return command.gone(gone, client).await,
-            word = command.word() => word,
+            gone = client.wait_gone() => return command.client_gone(gone, client).await,
+            instruction = command.next_instruction() => instruction,
         };
-        let (instance, patience) = match word {
-            Word::Execute { instance, patience } => (instance, patience),
-            Word::Nack(after) => {
+        let (instance, patience) = match instruction {
+            Instruction::Execute { instance, patience } => (instance, patience),
+            Instruction::Nack(retry_after) => {
                 command_metrics.record_result(CommandResult::Rejected);
-                return client.nack(after).await;
+                return client.nack(retry_after).await;
             }
-            Word::Fail => {
+            Instruction::Fail => {
                 command_metrics.record_result(CommandResult::Failed);
-                return client.fail(command.failure()).await;
+                return client.fail(command.failure_cause()).await;
             }
-            Word::Move => continue,
+            Instruction::Move => continue,
         };
-        let Some(execution) = command.begin(instance, patience, &command_metrics) else { continue };
-        let came = tokio::select! {
+        let Some(execution) = command.begin_execution(instance, patience, &command_metrics) else { continue };
+        let result = tokio::select! {
             biased;
             // Looked at before the connection is: whoever left in the turn in which it came up is not sent on.
             // Dropping `execute` closes the attempt before its end is told: never two outstanding.
-            gone = client.wait_gone() => return command.gone(gone, client).await,
-            came = dialer.execute(&execution) => came,
+            gone = client.wait_gone() => return command.client_gone(gone, client).await,
+            result = dialer.execute(&execution) => result,
             () = broker.sleep_until(execution.deadline) => Err(Outcome::Timeout),
         };
-        match came {
+        match result {
             Ok(link) => break link,
-            Err(outcome) => command.finished(outcome),
+            Err(outcome) => command.execution_failed(outcome),
         }
     };
-    command.opened();
+    command.record_established();
     command_metrics.record_result(CommandResult::Completed);
     let ended = client.relay(link, &mut command).await;
-    command.ended(ended);
+    command.record_end(ended);
 }
 
 /// A connection that stood at this instance before the program started: it goes there and nowhere else, as
@@ -90,64 +90,64 @@
     D: Dialer<Link = C::Link>,
 {
     let command_metrics = broker.count_command(demand.class);
-    let Some(_both) = broker.reserve_descriptors(CONNECTION) else {
+    let Some(_descriptors) = broker.reserve_descriptors(DESCRIPTORS_PER_CONNECTION) else {
         command_metrics.record_result(CommandResult::Rejected);
         return client.nack(None).await;
     };
-    let until = broker.now().saturating_add(demand.left).saturating_sub(ANSWER_AHEAD);
+    let until = broker.now().saturating_add(demand.left).saturating_sub(ANSWER_MARGIN);
     let link = loop {
-        let tried = async {
+        let attempt = async {
             let execution = broker.execution(&demand.call, instance, until, &command_metrics)?;
             dialer.execute(&execution).await.ok()
         };
-        let again = async {
-            match tried.await {
+        let attempt_or_delay = async {
+            match attempt.await {
                 Some(link) => Some(link),
                 None => {
-                    broker.sleep(ADOPT_AGAIN).await;
+                    broker.sleep(RESUME_RETRY_DELAY).await;
                     None
                 }
             }
         };
         tokio::select! {
             biased;
-            gone = client.wait_gone() => return part(gone, client).await,
-            came = again => if let Some(link) = came { break link },
+            gone = client.wait_gone() => return answer_gone_client(gone, client).await,
+            result = attempt_or_delay => if let Some(link) = result { break link },
             () = broker.sleep_until(until) => return client.fail(Failure::Deadline).await,
         }
     };
     command_metrics.record_result(CommandResult::Completed);
     let mut command = broker.adopt(demand, team, instance);
     let ended = client.relay(link, &mut command).await;
-    command.ended(ended);
+    command.record_end(ended);
 }
 
-async fn part<C: Client>(gone: ClientGone, client: &mut C) {
+async fn answer_gone_client<C: Client>(gone: ClientGone, client: &mut C) {
     if gone == ClientGone::UnexpectedInput {
         client.fail(Failure::UnexpectedInput).await
     }
 }
 
 /// Between two tries to take up a connection that stood before.
-const ADOPT_AGAIN: Micros = 200_000;
+const RESUME_RETRY_DELAY: Micros = 200_000;
 
 /// One command in hand. Whatever becomes of it, its execution gives exactly one `Finished`, and the module
 /// is told when it is over: at the latest when this is dropped.
 pub struct Command {
     pub(super) broker: Rc<Broker>,
     pub(super) id: CallId,
-    pub(super) heard: UnboundedReceiver<Word>,
+    pub(super) instructions: UnboundedReceiver<Instruction>,
     pub(super) deadline: Micros,
-    pub(super) late: bool,
+    pub(super) deadline_passed: bool,
     /// The execution that is out, and since when.
-    pub(super) out: Option<(HostId, Micros)>,
-    pub(super) executions: u32,
+    pub(super) execution: Option<(HostId, Micros)>,
+    pub(super) execution_count: u32,
     /// Its load has been told.
-    pub(super) loaded: bool,
-    pub(super) stands: bool,
-    pub(super) over: bool,
+    pub(super) load_reported: bool,
+    pub(super) established: bool,
+    pub(super) ended: bool,
     /// Its own and its link's.
-    pub(super) descriptors: Option<Descriptors>,
+    pub(super) descriptors: Option<DescriptorReservation>,
 }
 
 impl Command {
@@ -157,29 +157,29 @@
     }
 
     /// The next word; at the deadline, failed: the service client is owed an answer before it gives up.
-    async fn word(&mut self) -> Word {
-        let word = tokio::select! {
+    async fn next_instruction(&mut self) -> Instruction {
+        let instruction = tokio::select! {
             biased;
-            word = self.heard.recv() => word,
+            instruction = self.instructions.recv() => instruction,
             () = self.broker.sleep_until(self.deadline) => {
-                self.late = true;
+                self.deadline_passed = true;
                 None
             }
         };
-        match word {
-            Some(word) => {
-                self.over |= matches!(word, Word::Nack(_) | Word::Fail);
-                word
+        match instruction {
+            Some(instruction) => {
+                self.ended |= matches!(instruction, Instruction::Nack(_) | Instruction::Fail);
+                instruction
             }
             None => {
-                self.vanish();
-                Word::Fail
+                self.abandon();
+                Instruction::Fail
             }
         }
     }
 
-    fn failure(&self) -> Failure {
-        if self.late {
+    fn failure_cause(&self) -> Failure {
+        if self.deadline_passed {
             Failure::Deadline
         } else {
             Failure::GivenUp
@@ -187,75 +187,75 @@
     }
 
     /// The execution that the module asked for; none where the instance has left the list meanwhile.
-    fn begin(
+    fn begin_execution(
         &mut self,
         instance: HostId,
         patience: Micros,
         command_metrics: &Rc<CommandMetrics>,
     ) -> Option<Execution> {
         let now = self.broker.now();
-        self.out = Some((instance, now));
-        self.executions += 1;
+        self.execution = Some((instance, now));
+        self.execution_count += 1;
         let until = now.saturating_add(patience).min(self.deadline);
         let execution = self.broker.execution(&self.id, instance, until, command_metrics);
         if execution.is_none() {
-            self.finished(Outcome::Moot);
+            self.execution_failed(Outcome::Moot);
         }
         execution
     }
 
-    fn finish(&mut self, outcome: Outcome, ended: bool) {
-        let Some((host, since)) = self.out.take() else { return };
-        let (call, attempt) = (self.id.clone(), self.executions - 1);
+    fn finish_execution(&mut self, outcome: Outcome, ended: bool) {
+        let Some((host, since)) = self.execution.take() else { return };
+        let (call, attempt) = (self.id.clone(), self.execution_count - 1);
         let elapsed = self.broker.now().saturating_sub(since);
-        self.broker.tell(Event::Finished { call, attempt, host, outcome, elapsed, ended });
+        self.broker.handle_event(Event::Finished { call, attempt, host, outcome, elapsed, ended });
     }
 
-    fn finished(&mut self, outcome: Outcome) {
-        self.finish(outcome, false);
+    fn execution_failed(&mut self, outcome: Outcome) {
+        self.finish_execution(outcome, false);
     }
 
-    fn opened(&mut self) {
-        if let Some((host, since)) = self.out {
+    fn record_established(&mut self) {
+        if let Some((host, since)) = self.execution {
             let elapsed = self.broker.now().saturating_sub(since);
-            self.broker.tell(Event::Opened { call: self.id.clone(), host, elapsed });
+            self.broker.handle_event(Event::Opened { call: self.id.clone(), host, elapsed });
         }
-        self.stand();
+        self.mark_established();
     }
 
-    pub(super) fn stand(&mut self) {
-        self.stands = true;
-        self.broker.state.borrow_mut().standing.push_back(self.id.clone());
+    pub(super) fn mark_established(&mut self) {
+        self.established = true;
+        self.broker.state.borrow_mut().established.push_back(self.id.clone());
     }
 
-    fn ended(&mut self, how: ConnectionEnd) {
-        self.over = true;
-        let outcome = match how {
+    fn record_end(&mut self, end: ConnectionEnd) {
+        self.ended = true;
+        let outcome = match end {
             ConnectionEnd::Served => Outcome::Ok,
             ConnectionEnd::Broken => Outcome::Reset,
             ConnectionEnd::Left => Outcome::Cancelled,
         };
-        self.finish(outcome, true);
+        self.finish_execution(outcome, true);
     }
 
-    fn vanish(&mut self) {
-        if !std::mem::replace(&mut self.over, true) {
-            self.broker.tell(Event::Vanished { call: self.id.clone() });
+    fn abandon(&mut self) {
+        if !std::mem::replace(&mut self.ended, true) {
+            self.broker.handle_event(Event::Vanished { call: self.id.clone() });
         }
-        self.finish(Outcome::Cancelled, true);
+        self.finish_execution(Outcome::Cancelled, true);
     }
 
     /// The attempt's end is told before the service client is: never two outstanding.
-    async fn gone<C: Client>(mut self, gone: ClientGone, client: &mut C) {
-        self.vanish();
-        part(gone, client).await
+    async fn client_gone<C: Client>(mut self, gone: ClientGone, client: &mut C) {
+        self.abandon();
+        answer_gone_client(gone, client).await
     }
 
     /// Ends when the service client is to be asked to come again.
     pub async fn move_requested(&mut self) {
         loop {
-            match self.heard.recv().await {
-                Some(Word::Move) => return,
+            match self.instructions.recv().await {
+                Some(Instruction::Move) => return,
                 Some(_) => {}
                 None => std::future::pending().await,
             }
@@ -264,41 +264,46 @@
 
     /// A figure that its instance tells on the connection: the load of this one, or, where the settings say so
     /// and it looks like one, how long messages take there. A load is told once when the connection opens.
-    pub fn report_load(&mut self, figure: f64) {
-        let Some((host, since)) = self.out else { return };
+    pub fn report_load(&mut self, value: f64) {
+        let Some((host, since)) = self.execution else { return };
         let now = self.broker.now();
         // Among few balancers others tell of the instance too, and one idle connection must not speak for it.
-        let window = if self.broker.many { OPENING } else { SLOW_EVERY };
-        let opening = !std::mem::replace(&mut self.loaded, true) && now < since.saturating_add(window);
-        if self.broker.delays_told && !opening {
+        let window = if self.broker.is_large_fleet { OPENING_LOAD_WINDOW } else { SLOW_REPORT_INTERVAL };
+        let opening = !std::mem::replace(&mut self.load_reported, true) && now < since.saturating_add(window);
+        if self.broker.message_delays_reported && !opening {
             let mut state = self.broker.state.borrow_mut();
-            let delay = state.instances.get_mut(host).and_then(|i| i.pulse.delay(now, figure));
+            let delay =
+                state.instances.get_mut(host).and_then(|i| i.load_line_classifier.message_delay(now, value));
             drop(state);
             if let Some(delay) = delay {
-                return self.broker.tell(Event::DelayNote { host, delay });
+                return self.broker.handle_event(Event::DelayNote { host, delay });
             }
         }
-        self.broker.tell(Event::LoadNote { call: self.id.clone(), load: figure });
+        self.broker.handle_event(Event::LoadNote { call: self.id.clone(), load: value });
     }
 
     /// A message has been out for so long; whether its connection is to be ended for it. Unless others hear of
     /// the instance meanwhile, the module is told, once a second and instance.
     pub fn report_silence(&self, span: Micros) -> bool {
-        let Some((host, _)) = self.out else { return true };
+        let Some((host, _)) = self.execution else { return true };
         let now = self.broker.now();
         {
             let mut state = self.broker.state.borrow_mut();
             let Some(instance) = state.instances.get_mut(host) else { return span >= SILENCE_TIMEOUT };
-            if instance.heard > now.saturating_sub(span) {
+            if instance.last_message_at > now.saturating_sub(span) {
                 // It works: what is wrong is with this connection, and no reason to leave the instance.
-                return span >= ALONE;
+                return span >= SINGLE_SILENCE_TIMEOUT;
             }
-            if span < SLOW_EVERY || instance.slow.is_some_and(|told| now < told.saturating_add(SLOW_EVERY)) {
+            if span < SLOW_REPORT_INTERVAL
+                || instance
+                    .slow_reported_at
+                    .is_some_and(|reported| now < reported.saturating_add(SLOW_REPORT_INTERVAL))
+            {
                 return span >= SILENCE_TIMEOUT;
             }
-            instance.slow = Some(now);
+            instance.slow_reported_at = Some(now);
         }
-        self.broker.tell(Event::DelayNote { host, delay: span });
+        self.broker.handle_event(Event::DelayNote { host, delay: span });
         span >= SILENCE_TIMEOUT
     }
 
@@ -306,29 +311,29 @@
     /// took says nothing else: an instance returns it at once however much work is piled up there, and what we
     /// see are delays of our own.
     pub fn report_returned_message(&self, span: Micros) {
-        let Some((host, _)) = self.out else { return };
+        let Some((host, _)) = self.execution else { return };
         {
             let mut state = self.broker.state.borrow_mut();
             let Some(instance) = state.instances.get_mut(host) else { return };
-            instance.heard = self.broker.now();
-            if instance.slow.take().is_none() {
+            instance.last_message_at = self.broker.now();
+            if instance.slow_reported_at.take().is_none() {
                 return;
             }
         }
-        self.broker.tell(Event::DelayNote { host, delay: span });
+        self.broker.handle_event(Event::DelayNote { host, delay: span });
     }
 }
 
 impl Drop for Command {
     fn drop(&mut self) {
         // A connection that ends in no other way, even by a bug of ours, must not stay on the books.
-        if self.out.is_some() || !self.over {
-            self.vanish();
+        if self.execution.is_some() || !self.ended {
+            self.abandon();
         }
         let mut state = self.broker.state.borrow_mut();
         state.commands.remove(&self.id);
-        if self.stands {
-            state.standing.retain(|id| *id != self.id);
+        if self.established {
+            state.established.retain(|id| *id != self.id);
         }
     }
 }
--- a/src/broker/deadlines.rs
+++ b/src/broker/deadlines.rs
@@ -46,70 +46,70 @@
 
 type Key = (Micros, u64);
 
-enum Due {
-    /// A task waits in a [`Wait`].
+enum Waiter {
+    /// A task waits in a [`Sleep`].
     Task(Option<Waker>),
-    /// The module asked to be reminded.
-    Reminder(u64),
+    /// The module asked to be on_timer.
+    Timer(u64),
 }
 
 /// The sorted structure.
 #[derive(Default)]
 pub struct Deadlines {
-    due: RefCell<BTreeMap<Key, Due>>,
-    last: Cell<u64>,
-    sooner: Notify,
+    waiters: RefCell<BTreeMap<Key, Waiter>>,
+    last_id: Cell<u64>,
+    first_changed: Notify,
 }
 
 impl Deadlines {
-    fn add(&self, at: Micros, due: Due) -> Key {
-        let key = (at, self.last.replace(self.last.get() + 1));
-        let mut all = self.due.borrow_mut();
-        let first = all.first_key_value().is_none_or(|(first, _)| key < *first);
-        all.insert(key, due);
+    fn add(&self, at: Micros, waiter: Waiter) -> Key {
+        let key = (at, self.last_id.replace(self.last_id.get() + 1));
+        let mut waiters = self.waiters.borrow_mut();
+        let first = waiters.first_key_value().is_none_or(|(first, _)| key < *first);
+        waiters.insert(key, waiter);
         if first {
-            self.sooner.notify_one();
+            self.first_changed.notify_one();
         }
         key
     }
 
     /// Has `reminders` told of this token at that time.
-    pub fn remind(&self, at: Micros, token: u64) {
-        self.add(at, Due::Reminder(token));
+    pub fn add_timer(&self, at: Micros, token: u64) {
+        self.add(at, Waiter::Timer(token));
     }
 
     /// Ends at that time.
-    pub fn until(self: &Rc<Self>, at: Micros) -> Wait {
-        Wait { key: self.add(at, Due::Task(None)), all: self.clone(), over: false }
+    pub fn sleep_until(self: &Rc<Self>, at: Micros) -> Sleep {
+        Sleep { key: self.add(at, Waiter::Task(None)), deadlines: self.clone(), expired: false }
     }
 
     /// Sweeps for ever: everything that is due at the turn ends in it.
-    pub async fn sweep(&self, clock: Clock, mut reminded: impl FnMut(u64)) {
+    pub async fn run(&self, clock: Clock, mut on_timer: impl FnMut(u64)) {
         loop {
-            let first = self.due.borrow().first_key_value().map(|(&(at, _), _)| at);
+            let first = self.waiters.borrow().first_key_value().map(|(&(at, _), _)| at);
             let now = clock.now();
             match first {
                 Some(at) if at <= now => {}
                 Some(at) => {
                     tokio::select! {
                         () = tokio::time::sleep_until(clock.instant(at)) => {}
-                        () = self.sooner.notified() => continue,
+                        () = self.first_changed.notified() => continue,
                     }
                 }
                 None => {
-                    self.sooner.notified().await;
+                    self.first_changed.notified().await;
                     continue;
                 }
             }
-            let over = {
-                let mut all = self.due.borrow_mut();
-                let left = all.split_off(&(clock.now() + 1, 0));
-                std::mem::replace(&mut *all, left)
+            let due = {
+                let mut waiters = self.waiters.borrow_mut();
+                let later = waiters.split_off(&(clock.now() + 1, 0));
+                std::mem::replace(&mut *waiters, later)
             };
-            for due in over.into_values() {
-                match due {
-                    Due::Task(waker) => waker.into_iter().for_each(Waker::wake),
-                    Due::Reminder(token) => reminded(token),
+            for waiter in due.into_values() {
+                match waiter {
+                    Waiter::Task(waker) => waker.into_iter().for_each(Waker::wake),
+                    Waiter::Timer(token) => on_timer(token),
                 }
             }
             tokio::task::yield_now().await;
@@ -118,28 +118,28 @@
 }
 
 /// A future that ends at a deadline; dropping it takes the deadline back.
-pub struct Wait {
+pub struct Sleep {
     key: Key,
-    all: Rc<Deadlines>,
-    over: bool,
+    deadlines: Rc<Deadlines>,
+    expired: bool,
 }
 
-impl Future for Wait {
+impl Future for Sleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        if !self.over {
-            let waits = match self.all.due.borrow_mut().get_mut(&self.key) {
-                Some(Due::Task(waker)) => {
+        if !self.expired {
+            let is_waiting = match self.deadlines.waiters.borrow_mut().get_mut(&self.key) {
+                Some(Waiter::Task(waker)) => {
                     *waker = Some(cx.waker().clone());
                     true
                 }
                 // Swept away: it is over.
                 _ => false,
             };
-            self.over = !waits;
+            self.expired = !is_waiting;
         }
-        if self.over {
+        if self.expired {
             Poll::Ready(())
         } else {
             Poll::Pending
@@ -147,8 +147,8 @@
     }
 }
 
-impl Drop for Wait {
+impl Drop for Sleep {
     fn drop(&mut self) {
-        self.all.due.borrow_mut().remove(&self.key);
+        self.deadlines.waiters.borrow_mut().remove(&self.key);
     }
 }
--- a/src/broker/instances.rs
+++ b/src/broker/instances.rs
@@ -50,11 +50,11 @@
     /// Its state as last told.
     pub state: HostState,
     /// When messages there were last told to be out; none when they are not.
-    pub slow: Option<Micros>,
+    pub slow_reported_at: Option<Micros>,
     /// When it last brought a message back, on any connection.
-    pub heard: Micros,
+    pub last_message_at: Micros,
     /// How it tells of slow messages.
-    pub pulse: Pulse,
+    pub load_line_classifier: LoadLineClassifier,
 }
 
 /// Tells apart the two figures that come as `LOAD X`: the load of the connection, in microseconds of work a
@@ -62,49 +62,49 @@
 /// second comes at whole seconds after the one before, whatever its connection, for as long as the instance runs
 /// (seen within 2 ms over whole days), and is told only while messages are slow.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Pulse {
-    /// The last figure that came on the beat, and when.
-    beat: Option<(Micros, f64)>,
-    /// One that may have begun another beat.
-    other: Option<Micros>,
+pub struct LoadLineClassifier {
+    /// The last value that came on the beat, and when.
+    last_delay: Option<(Micros, f64)>,
+    /// One that may have begun another previous.
+    candidate: Option<Micros>,
 }
 
-/// So far from a whole second a figure may come and be on the beat: we may be late ourselves.
-const NEAR: Micros = 60_000;
+/// So far from a whole second a value may come and be on the beat: we may be late ourselves.
+const PHASE_TOLERANCE: Micros = 60_000;
 /// A connection that asks for less work, in microseconds a second, is next to idle: most likely it is a time.
-const FEW: f64 = 2_000.0;
-/// Below this, the first such figure of an instance is believed without another on its beat: overload at the start
+const MAX_NEARLY_IDLE_LOAD: f64 = 2_000.0;
+/// Below this, the first such value of an instance is believed without another on its beat: overload at the start
 /// must not wait, and hardly any load is so low.
-const IDLE: f64 = 500.0;
+const MAX_FIRST_DELAY_MS: f64 = 500.0;
 /// The longest time, in milliseconds, that is told while an instance works: it drops what has to wait longer.
-const LONG: f64 = 5_000.0;
+const MAX_QUEUED_DELAY_MS: f64 = 5_000.0;
 
-impl Pulse {
-    /// The time that a message takes, if that is what this figure means.
-    pub fn delay(&mut self, now: Micros, figure: f64) -> Option<Micros> {
-        let on = |at: Micros| {
+impl LoadLineClassifier {
+    /// The time that a message takes, if that is what this value means.
+    pub fn message_delay(&mut self, now: Micros, value: f64) -> Option<Micros> {
+        let in_phase = |at: Micros| {
             let (span, off) = (now.saturating_sub(at), now.saturating_sub(at) % 1_000_000);
-            span > NEAR && off.min(1_000_000 - off) <= NEAR
+            span > PHASE_TOLERANCE && off.min(1_000_000 - off) <= PHASE_TOLERANCE
         };
-        let beat = match (self.beat, self.other) {
-            (Some((at, _)), _) if on(at) => self.beat,
-            (_, Some(at)) if on(at) && figure < FEW => Some((at, figure)),
-            (None, None) if figure < IDLE => None,
+        let previous = match (self.last_delay, self.candidate) {
+            (Some((at, _)), _) if in_phase(at) => self.last_delay,
+            (_, Some(at)) if in_phase(at) && value < MAX_NEARLY_IDLE_LOAD => Some((at, value)),
+            (None, None) if value < MAX_FIRST_DELAY_MS => None,
             _ => {
-                if figure < FEW {
-                    self.other = Some(now);
+                if value < MAX_NEARLY_IDLE_LOAD {
+                    self.candidate = Some(now);
                 }
                 return None;
             }
         };
         // One that has stopped working has it grow by a second each second.
-        let grows = beat.is_some_and(|(_, last)| (figure - last - 1000.0).abs() < 100.0);
-        if figure < LONG || grows {
-            (self.beat, self.other) = (Some((now, figure)), None);
-            return Some((figure * 1000.0) as Micros);
+        let grows_with_time = previous.is_some_and(|(_, last)| (value - last - 1000.0).abs() < 100.0);
+        if value < MAX_QUEUED_DELAY_MS || grows_with_time {
+            (self.last_delay, self.candidate) = (Some((now, value)), None);
+            return Some((value * 1000.0) as Micros);
         }
         // Else it is a load that came then by chance, or the first after it stopped.
-        self.beat = beat.map(|(at, _)| (at, figure));
+        self.last_delay = previous.map(|(at, _)| (at, value));
         None
     }
 }
@@ -153,7 +153,7 @@
                 tracing::warn!("discovery: instance {} has the number of another one: passed over", e.name);
                 continue;
             }
-            let address = e.address.parse().ok().or(known.map(|k| k.address));
+            let address = e.address.parse().ok().or(known.map(|known| known.address));
             let Some(address) = address else {
                 tracing::warn!(
                     "discovery: instance {} has no address in {:?}: passed over",
@@ -165,12 +165,24 @@
             if known.is_none_or(|known| known.state != state) {
                 tracing::info!("discovery: instance {} at {address} is {}", e.name, e.status);
             }
-            let (slow, heard, pulse) = known.map(|k| (k.slow, k.heard, k.pulse)).unwrap_or_default();
+            let (slow_reported_at, last_message_at, load_line_classifier) = known
+                .map(|known| (known.slow_reported_at, known.last_message_at, known.load_line_classifier))
+                .unwrap_or_default();
             let zone = e.zone.as_deref().and_then(|zone| names.zone(zone));
             let ready_at = (e.since_ms.unwrap_or(0.0).max(0.0) * 1000.0) as Micros;
             let (cell, weight) = (e.group.unwrap_or(0), e.weight.unwrap_or(1.0));
             entries.push(Entry { host: id, state, ready_at, zone, cell, weight });
-            self.by_id.insert(id, Instance { name: e.name.into(), address, state, slow, heard, pulse });
+            self.by_id.insert(
+                id,
+                Instance {
+                    name: e.name.into(),
+                    address,
+                    state,
+                    slow_reported_at,
+                    last_message_at,
+                    load_line_classifier,
+                },
+            );
         }
         if kind != ListKind::Changes {
             // What a whole list leaves out is gone.
@@ -212,8 +224,10 @@
     /// Guards against times taken for loads (an overloaded instance then looks idle) and loads for times.
     #[test]
     fn times_come_on_the_beat_and_loads_when_they_like() {
-        let mut pulse = Pulse::default();
-        let mut read = |ms: u64, figure: f64| pulse.delay(77_000_000 + ms * 1000, figure).map(|us| us / 1000);
+        let mut load_line_classifier = LoadLineClassifier::default();
+        let mut read = |ms: u64, value: f64| {
+            load_line_classifier.message_delay(77_000_000 + ms * 1000, value).map(|us| us / 1000)
+        };
         assert_eq!(read(100, 70_576.8), None);
         // The first is believed at once if it is low; then only what comes a whole second later or several.
         assert_eq!(read(500, 1_380.4), None);
@@ -224,16 +238,16 @@
         assert_eq!(read(2_900, 31_827.8), None);
         assert_eq!(read(4_874, 38.4), Some(38));
         assert_eq!(read(5_875, 31_827.8), None, "a load that comes on the beat by chance");
-        // It stopped working: its time grows with the clock.
+        // It stopped working: its time grows_with_time with the clock.
         assert_eq!(read(6_873, 60_802.4), None);
         assert_eq!(read(7_873, 61_802.4), Some(61_802));
         assert_eq!(read(8_873, 62_802.4), Some(62_802));
-        // It started anew, and has another beat.
+        // It started anew, and has another previous.
         assert_eq!(read(20_100, 66.1), None);
         assert_eq!(read(21_101, 72.3), Some(72));
         assert_eq!(read(22_100, 80.0), Some(80));
-        assert_eq!(Pulse::default().delay(0, 345.9), Some(345_900));
+        assert_eq!(LoadLineClassifier::default().message_delay(0, 345.9), Some(345_900));
         // One connection in twenty-five asks for so little: read as a time, it moved its client off a sound instance.
-        assert_eq!(Pulse::default().delay(0, 3_297.4), None);
+        assert_eq!(LoadLineClassifier::default().message_delay(0, 3_297.4), None);
     }
 }
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -25,7 +25,7 @@
 use crate::wire::Names;
 pub use command::{resume_connection, run_command, Command, SILENCE_TIMEOUT};
 use core::Core;
-use deadlines::{Clock, Deadlines, Wait};
+use deadlines::{Clock, Deadlines, Sleep};
 use drain::Drain;
 pub use front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
 use handover::HandedOverConnection;
@@ -38,10 +38,10 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{watch, Notify};
 
-/// Descriptors of a connection with a command: its own and its link's.
-const CONNECTION: usize = 2;
+/// DescriptorReservation of a connection with a command: its own and its link's.
+const DESCRIPTORS_PER_CONNECTION: usize = 2;
 /// Answers leave this long before the service client gives up, so that they arrive in time.
-const ANSWER_AHEAD: Micros = 15_000;
+const ANSWER_MARGIN: Micros = 15_000;
 /// What the core asks of the network beside executions.
 #[derive(Debug)]
 pub enum NetworkRequest {
@@ -55,7 +55,7 @@
 
 /// What the module, or the program's end, says to a command.
 #[derive(Debug)]
-enum Word {
+enum Instruction {
     Execute { instance: HostId, patience: Micros },
     Nack(Option<Micros>),
     Fail,
@@ -69,9 +69,9 @@
 struct State {
     core: Core,
     instances: Instances,
-    commands: BTreeMap<CallId, UnboundedSender<Word>>,
+    commands: BTreeMap<CallId, UnboundedSender<Instruction>>,
     /// Standing connections, in the order in which they came.
-    standing: VecDeque<CallId>,
+    established: VecDeque<CallId>,
 }
 
 /// What is known of the list of servers that is held.
@@ -92,25 +92,25 @@
     deadlines: Rc<Deadlines>,
     names: Names,
     /// Whether instances tell how long messages take there.
-    delays_told: bool,
+    message_delays_reported: bool,
     /// Changes of the list count as told, asked for or not.
-    pushed: bool,
+    list_is_pushed: bool,
     /// It is one of so many that it mostly has one connection at an instance.
-    many: bool,
+    is_large_fleet: bool,
     /// The longest that a client waits.
-    longest: Micros,
+    max_deadline: Micros,
     class_deadlines: Vec<Micros>,
-    /// When contracts are looked at next, and what says that it has become sooner.
-    turn_at: Cell<Micros>,
-    sooner: Notify,
+    /// When contracts are looked at next, and what says that it has become due_changed.
+    next_due: Cell<Micros>,
+    due_changed: Notify,
     connect_timeout: Micros,
-    must_ask_in: Option<Micros>,
-    orders: UnboundedSender<NetworkRequest>,
-    descriptors: Cell<usize>,
+    max_poll_interval: Option<Micros>,
+    network_requests: UnboundedSender<NetworkRequest>,
+    free_descriptors: Cell<usize>,
     drain: RefCell<Drain>,
     metrics: Rc<Metrics>,
     /// Says that moves of a drain are to be looked at.
-    drains: Notify,
+    drain_started: Notify,
     /// What discovery has answered in this run.
     list_state: watch::Sender<ListState>,
 }
@@ -123,29 +123,29 @@
         seed: u64,
         descriptors: usize,
     ) -> Result<(Rc<Broker>, UnboundedReceiver<NetworkRequest>), SettingsError> {
-        let ((orders, ordered), classes) = (unbounded_channel(), settings.classes.len());
+        let ((network_requests, request_receiver), classes) = (unbounded_channel(), settings.classes.len());
         let broker = Broker {
-            delays_told: settings.message_delays_reported,
-            pushed: settings.discovery == Discovery::Pushed,
-            many: settings.peers_total > crate::placement::SMALL_FLEET_NODES,
-            longest: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
-            turn_at: Cell::new(Micros::MAX),
-            sooner: Notify::new(),
+            message_delays_reported: settings.message_delays_reported,
+            list_is_pushed: settings.discovery == Discovery::Pushed,
+            is_large_fleet: settings.peers_total > crate::placement::SMALL_FLEET_NODES,
+            max_deadline: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
+            next_due: Cell::new(Micros::MAX),
+            due_changed: Notify::new(),
             class_deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
             connect_timeout: settings.connect_timeout,
-            must_ask_in: settings.max_poll_interval,
+            max_poll_interval: settings.max_poll_interval,
             state: RefCell::new(State { core: Core::new(settings, &names, seed)?, ..State::default() }),
             clock: Clock::new(),
             deadlines: Rc::default(),
             names,
-            orders,
-            descriptors: Cell::new(descriptors),
+            network_requests,
+            free_descriptors: Cell::new(descriptors),
             drain: RefCell::default(),
             metrics: Metrics::new(classes),
-            drains: Notify::new(),
+            drain_started: Notify::new(),
             list_state: watch::Sender::new(ListState::Configured),
         };
-        Ok((Rc::new(broker), ordered))
+        Ok((Rc::new(broker), request_receiver))
     }
 
     /// The time now.
@@ -154,12 +154,12 @@
     }
 
     /// Ends at that time.
-    pub fn sleep_until(&self, at: Micros) -> Wait {
-        self.deadlines.until(at)
+    pub fn sleep_until(&self, at: Micros) -> Sleep {
+        self.deadlines.sleep_until(at)
     }
 
     /// Ends after that long.
-    pub fn sleep(&self, span: Micros) -> Wait {
+    pub fn sleep(&self, span: Micros) -> Sleep {
         self.sleep_until(self.now().saturating_add(span))
     }
 
@@ -170,7 +170,7 @@
 
     /// How long the list may go unasked for.
     pub fn max_poll_interval(&self) -> Micros {
-        self.must_ask_in.unwrap_or(Micros::MAX)
+        self.max_poll_interval.unwrap_or(Micros::MAX)
     }
 
     /// How long a connection to an instance may take to come up.
@@ -180,29 +180,33 @@
 
     /// How long a service client of a class waits.
     pub fn deadline(&self, class: usize) -> Micros {
-        self.class_deadlines.get(class).copied().filter(|&d| d > 0).unwrap_or(self.longest.max(1_000_000))
+        self.class_deadlines
+            .get(class)
+            .copied()
+            .filter(|&d| d > 0)
+            .unwrap_or(self.max_deadline.max(1_000_000))
     }
 
     /// The longest that any service client waits.
     pub fn max_deadline(&self) -> Micros {
-        self.longest
+        self.max_deadline
     }
 
     /// Takes descriptors out of the budget until the guard is dropped; none where too few are left.
-    pub fn reserve_descriptors(self: &Rc<Self>, n: usize) -> Option<Descriptors> {
-        self.descriptors.set(self.descriptors.get().checked_sub(n)?);
-        Some(Descriptors(self.clone(), n))
+    pub fn reserve_descriptors(self: &Rc<Self>, n: usize) -> Option<DescriptorReservation> {
+        self.free_descriptors.set(self.free_descriptors.get().checked_sub(n)?);
+        Some(DescriptorReservation(self.clone(), n))
     }
 
     /// Sweeps the deadlines for ever.
     pub async fn run_deadlines(&self) {
-        self.deadlines.sweep(self.clock, |token| self.tell(Event::Timer { token })).await
+        self.deadlines.run(self.clock, |token| self.handle_event(Event::Timer { token })).await
     }
 
     /// Discovery is at this address from now on.
     pub fn set_discovery_address(&self, address: SocketAddr) {
         // Cannot fail while the program runs: main holds the other end.
-        let _ = self.orders.send(NetworkRequest::SetDiscoveryAddress(address));
+        let _ = self.network_requests.send(NetworkRequest::SetDiscoveryAddress(address));
     }
 
     /// Version of the list held.
@@ -212,16 +216,16 @@
 
     /// Whether changes of the list count as told without our asking.
     pub fn list_is_pushed(&self) -> bool {
-        self.pushed
+        self.list_is_pushed
     }
 
     /// News of the list.
     pub fn update_list(&self, kind: ListKind, listing: Listing) {
         let hosts = self.state.borrow_mut().instances.apply_update(kind, listing, &self.names);
-        self.tell(Event::Members { kind, hosts });
-        if kind == ListKind::Cached && self.pushed {
+        self.handle_event(Event::Members { kind, hosts });
+        if kind == ListKind::Cached && self.list_is_pushed {
             // The module asks where it has to. Here nobody has to, but on sockets news comes by the watch alone.
-            let _ = self.orders.send(NetworkRequest::Watch(self.list_version()));
+            let _ = self.network_requests.send(NetworkRequest::Watch(self.list_version()));
         }
     }
 
@@ -243,81 +247,83 @@
 
     /// There is no list, or no watch: the module asks.
     pub fn list_unavailable(&self) {
-        self.tell(Event::Members { kind: ListKind::Failed, hosts: Vec::new() });
+        self.handle_event(Event::Members { kind: ListKind::Failed, hosts: Vec::new() });
     }
 
     /// How a probe went.
     pub fn record_probe(&self, host: HostId, outcome: Outcome, load: Option<f64>) {
-        self.tell(Event::Probed { host, outcome, load });
+        self.handle_event(Event::Probed { host, outcome, load });
     }
 
     /// The one way to the module.
-    fn tell(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let (mut actions, state) = (Vec::new(), &mut *self.state.borrow_mut());
         tracing::debug!("told: {event:?}");
         state.core.handle_event(self.now(), event, &mut actions);
-        self.carry_out(state, actions);
-        self.look(state);
+        self.apply_actions(state, actions);
+        self.schedule_due(state);
     }
 
     /// Has the core looked at when it next wants it.
-    fn look(&self, state: &mut State) {
+    fn schedule_due(&self, state: &mut State) {
         let due = state.core.next_due(self.now()).unwrap_or(Micros::MAX);
-        if due < self.turn_at.get() {
-            self.turn_at.set(due);
-            self.sooner.notify_one();
+        if due < self.next_due.get() {
+            self.next_due.set(due);
+            self.due_changed.notify_one();
         }
     }
 
     /// Carries out what was decided.
-    fn carry_out(&self, state: &State, actions: Vec<Action>) {
+    fn apply_actions(&self, state: &State, actions: Vec<Action>) {
         if !actions.is_empty() {
             tracing::debug!("decided: {actions:?}");
         }
         for action in actions {
-            let (call, word) = match action {
-                Action::Send { call, host, patience } => (call, Word::Execute { instance: host, patience }),
-                Action::Refuse { call, retry_after } => (call, Word::Nack(retry_after)),
-                Action::Fail { call } => (call, Word::Fail),
-                Action::Move { call } => (call, Word::Move),
+            let (call, instruction) = match action {
+                Action::Send { call, host, patience } => {
+                    (call, Instruction::Execute { instance: host, patience })
+                }
+                Action::Refuse { call, retry_after } => (call, Instruction::Nack(retry_after)),
+                Action::Fail { call } => (call, Instruction::Fail),
+                Action::Move { call } => (call, Instruction::Move),
                 Action::Timer { at, token } => {
-                    self.deadlines.remind(at, token);
+                    self.deadlines.add_timer(at, token);
                     continue;
                 }
                 Action::Probe { host } => {
                     if let Some(instance) = state.instances.get(host) {
                         // Cannot fail while the program runs: main holds the other end.
-                        let _ = self.orders.send(NetworkRequest::Probe(host, instance.address));
+                        let _ = self.network_requests.send(NetworkRequest::Probe(host, instance.address));
                     }
                     continue;
                 }
                 Action::Watch => {
-                    let _ = self.orders.send(NetworkRequest::Watch(state.instances.list_version));
+                    let _ = self.network_requests.send(NetworkRequest::Watch(state.instances.list_version));
                     continue;
                 }
             };
             if let Some(command) = state.commands.get(&call) {
                 // A command that has just ended needs no word.
-                let _ = command.send(word);
+                let _ = command.send(instruction);
             }
         }
     }
 
     fn register(self: &Rc<Self>, call: &CallId, left: Micros) -> Command {
-        let (words, heard) = unbounded_channel();
-        self.state.borrow_mut().commands.insert(call.clone(), words);
+        let (sender, instructions) = unbounded_channel();
+        self.state.borrow_mut().commands.insert(call.clone(), sender);
         let deadline = self.now().saturating_add(left);
         Command {
             broker: self.clone(),
             id: call.clone(),
-            heard,
+            instructions,
             deadline,
-            late: false,
-            out: None,
-            executions: 0,
-            loaded: false,
-            stands: false,
-            over: false,
+            deadline_passed: false,
+            execution: None,
+            execution_count: 0,
+            load_reported: false,
+            established: false,
+            ended: false,
             descriptors: None,
         }
     }
@@ -328,21 +334,21 @@
     }
 
     /// Takes a command on, unless contracts refuse it.
-    fn take(self: &Rc<Self>, mut demand: Demand, team: Option<&str>) -> Result<Command, Refused> {
-        demand.left = demand.left.saturating_sub(ANSWER_AHEAD);
+    fn accept(self: &Rc<Self>, mut demand: Demand, team: Option<&str>) -> Result<Command, Refused> {
+        demand.left = demand.left.saturating_sub(ANSWER_MARGIN);
         // Contracts first: a flood that they refuse must not use up what the others' links need.
         let admitted = {
             let state = &mut *self.state.borrow_mut();
             let admitted = state.core.admit(self.now(), &mut demand, team);
-            self.look(state);
+            self.schedule_due(state);
             admitted
         };
-        if let Err(no) = admitted {
-            tracing::debug!(team, reason = no.reason.name(), "refused by contract");
-            return Err(Refused(no.retry_after));
+        if let Err(refused) = admitted {
+            tracing::debug!(team, reason = refused.reason.name(), "refused by contract");
+            return Err(Refused(refused.retry_after));
         }
         // Counted before it is placed: one that cannot have its link must not fail at its instance.
-        let Some(both) = self.reserve_descriptors(CONNECTION) else {
+        let Some(descriptors) = self.reserve_descriptors(DESCRIPTORS_PER_CONNECTION) else {
             tracing::warn!("the descriptors are used up: a command was turned away");
             self.state.borrow_mut().core.withdraw(self.now(), &demand.call);
             return Err(Refused(None));
@@ -350,22 +356,22 @@
         // A little after the module's own deadline, which it counts from when it is told: else a time-out at
         // the deadline comes before it, and the module tries once more with no time left.
         let mut command = self.register(&demand.call, demand.left.saturating_add(1_000));
-        command.descriptors = Some(both);
-        self.tell(Event::Demand(demand));
+        command.descriptors = Some(descriptors);
+        self.handle_event(Event::Demand(demand));
         Ok(command)
     }
 
     fn adopt(self: &Rc<Self>, demand: Demand, team: Option<&str>, host: HostId) -> Command {
         let mut command = self.register(&demand.call, Micros::MAX);
-        command.out = Some((host, self.now()));
-        command.executions = 1;
+        command.execution = Some((host, self.now()));
+        command.execution_count = 1;
         {
             let state = &mut *self.state.borrow_mut();
             let actions = state.core.adopt(self.now(), demand, team, host);
-            self.carry_out(state, actions);
-            self.look(state);
+            self.apply_actions(state, actions);
+            self.schedule_due(state);
         }
-        command.stand();
+        command.mark_established();
         command
     }
 
@@ -375,8 +381,8 @@
             {
                 let (mut actions, state) = (Vec::new(), &mut *self.state.borrow_mut());
                 state.core.run_due(self.now(), &mut actions);
-                for note in state.core.take_rebalance_events() {
-                    match note {
+                for event in state.core.take_rebalance_events() {
+                    match event {
                         PlanEvent::Started(n, worst) => tracing::info!(n, worst, "rebalancing begins"),
                         PlanEvent::Paused(cause) => tracing::info!(cause, "rebalancing rests"),
                         PlanEvent::Finished(moved, worst) => {
@@ -384,12 +390,12 @@
                         }
                     }
                 }
-                self.carry_out(state, actions);
-                self.turn_at.set(state.core.next_due(self.now()).unwrap_or(Micros::MAX));
+                self.apply_actions(state, actions);
+                self.next_due.set(state.core.next_due(self.now()).unwrap_or(Micros::MAX));
             }
             tokio::select! {
-                () = self.sleep_until(self.turn_at.get().max(self.now() + TURN)) => {}
-                () = self.sooner.notified() => {}
+                () = self.sleep_until(self.next_due.get().max(self.now() + STEP_INTERVAL)) => {}
+                () = self.due_changed.notified() => {}
             }
         }
     }
@@ -398,7 +404,7 @@
     pub fn set_contracts(&self, terms: Option<Terms>) -> Vec<TermsChange> {
         let state = &mut *self.state.borrow_mut();
         let changes = state.core.set_contracts(self.now(), terms);
-        self.look(state);
+        self.schedule_due(state);
         changes
     }
 
@@ -406,7 +412,7 @@
     pub fn set_rebalance(&self, terms: Option<crate::rebalance::RebalanceSettings>) {
         let state = &mut *self.state.borrow_mut();
         state.core.set_rebalance(self.now(), terms);
-        self.look(state);
+        self.schedule_due(state);
     }
 
     /// Zones by the fleet's plan from now on.
@@ -423,14 +429,14 @@
             Some(None) => tracing::warn!("zones: no plan is valid any more: this balancer judges alone"),
             None => {}
         }
-        self.carry_out(state, moves);
+        self.apply_actions(state, moves);
     }
 
     /// What was seen of the zones here, where there is a plan to be made of it.
     pub fn digest(&self) -> Option<Digest> {
         let state = &mut *self.state.borrow_mut();
         let (digest, probes) = state.core.digest(self.now())?;
-        self.carry_out(state, probes.into_iter().map(|host| Action::Probe { host }).collect());
+        self.apply_actions(state, probes.into_iter().map(|host| Action::Probe { host }).collect());
         Some(digest)
     }
 
@@ -439,7 +445,7 @@
     pub fn may_rebalance_until(&self, until: Micros) {
         let state = &mut *self.state.borrow_mut();
         state.core.may_rebalance_until(until);
-        self.look(state);
+        self.schedule_due(state);
     }
 
     /// Shows the contracts, where there are any.
@@ -452,10 +458,11 @@
         Rc::new(self.metrics.begin_command(class))
     }
 
-    fn members(&self) -> MemberCounts {
+    fn member_counts(&self) -> MemberCounts {
         let state = self.state.borrow();
-        let (listed, takes) = (state.instances.listed_count(), state.core.accepting_instances(self.now()));
-        MemberCounts { listed, unavailable: listed.saturating_sub(takes) }
+        let (listed, accepting) =
+            (state.instances.listed_count(), state.core.accepting_instances(self.now()));
+        MemberCounts { listed, unavailable: listed.saturating_sub(accepting) }
     }
 
     fn execution(
@@ -480,8 +487,8 @@
     }
 
     /// Whether the front is told to send clients.
-    pub fn accepts_new_clients(&self) -> bool {
-        self.drain.borrow().invites()
+    pub fn passes_health_checks(&self) -> bool {
+        self.drain.borrow().passes_health_checks()
     }
 
     /// What stands here, for the process after this one.
@@ -493,7 +500,7 @@
     pub fn inherit_connections(&self, stands: Vec<HandedOverConnection>) {
         let state = &mut *self.state.borrow_mut();
         state.core.inherit_connections(self.now(), stands);
-        self.look(state);
+        self.schedule_due(state);
     }
 
     /// The process before this one has ended.
@@ -503,34 +510,34 @@
 
     /// Clients are taken from now on.
     pub fn start_serving(&self) {
-        self.drain.borrow_mut().begin();
+        self.drain.borrow_mut().start_serving();
     }
 
     /// Whether the program is to end.
     pub fn is_shutting_down(&self) -> bool {
-        self.drain.borrow().leaves()
+        self.drain.borrow().is_shutting_down()
     }
 
     /// The program is to end: every service client is asked to come again between these times.
     pub fn shut_down(&self, from: Micros, end: Micros) {
-        self.drain.borrow_mut().leave(from, end);
-        self.drains.notify_one();
+        self.drain.borrow_mut().shut_down(from, end);
+        self.drain_started.notify_one();
     }
 
     /// Asks service clients to come again while this balancer drains or leaves, for ever. Rebalancing rests
     /// meanwhile: one cause of moves at a time.
     pub async fn run_drain(&self) -> ! {
         loop {
-            if !self.drain.borrow().empties() {
-                self.drains.notified().await;
+            if !self.drain.borrow().is_moving_connections() {
+                self.drain_started.notified().await;
             }
-            self.sleep(TURN).await;
+            self.sleep(STEP_INTERVAL).await;
             let state = &mut *self.state.borrow_mut();
             state.core.pause_rebalance(self.now(), "the balancer drains");
-            let moves = self.drain.borrow_mut().moves(self.now(), state.standing.len());
-            for call in state.standing.drain(..moves) {
+            let moves = self.drain.borrow_mut().due_moves(self.now(), state.established.len());
+            for call in state.established.drain(..moves) {
                 if let Some(command) = state.commands.get(&call) {
-                    let _ = command.send(Word::Move);
+                    let _ = command.send(Instruction::Move);
                 }
             }
         }
@@ -543,13 +550,13 @@
 }
 
 /// Between two looks at what is done bit by bit.
-const TURN: Micros = 20_000;
+const STEP_INTERVAL: Micros = 20_000;
 
 /// A part of the descriptor budget.
-pub struct Descriptors(Rc<Broker>, usize);
+pub struct DescriptorReservation(Rc<Broker>, usize);
 
-impl Drop for Descriptors {
+impl Drop for DescriptorReservation {
     fn drop(&mut self) {
-        self.0.descriptors.set(self.0.descriptors.get() + self.1);
+        self.0.free_descriptors.set(self.0.free_descriptors.get() + self.1);
     }
 }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -150,7 +150,7 @@
                 _ => First::Bad("ERR out of turn".into()),
             };
         }
-        let answer: &[u8] = if peer.broker.accepts_new_clients() { b"PONG\r\n" } else { b"NO\r\n" };
+        let answer: &[u8] = if peer.broker.passes_health_checks() { b"PONG\r\n" } else { b"NO\r\n" };
         if peer.link.write(answer).await.is_err() {
             return First::Nothing;
         }
