--- a/src/broker/command.rs
+++ b/src/broker/command.rs
@@ -1,4 +1,4 @@
-//! A command's life, from its arrival to its final answer and on to the end of its connection.
+//! The lifecycle of a command, from its arrival to its final answer, and on to the end of its connection if one is established.
 
 use super::front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
 use super::metrics::{CommandMetrics, CommandResult};
@@ -7,18 +7,18 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// News of slow messages comes once a second and instance, as the module's event means it.
+/// Shortest time between two reports of slow messages for one instance, as the decision module's `DelayNote` expects.
 const SLOW_REPORT_INTERVAL: Micros = 1_000_000;
-/// A load is told with `UP`: a figure that comes later than this after it is no opening one. At an instance that
-/// is overloaded the first that comes may be a time, for a connection that is idle tells no load.
+/// Time from `UP` within which the first `LOAD` value is the connection's load. An idle connection reports no load, so at an
+/// overloaded instance a later first value may be a message delay.
 const OPENING_LOAD_WINDOW: Micros = 50_000;
-/// A connection on which an instance brings nothing back for a message is ended after this long: it may have
-/// stopped up to two seconds before the message, and is owed its end within seven.
+/// A connection on which an instance returns nothing for a message is ended after this time. The instance may have stopped up to
+/// two seconds before the message, and the connection must be ended within seven seconds of the stop.
 pub const SILENCE_TIMEOUT: Micros = 4_500_000;
-/// And sooner where the instance works, for others heard of it meanwhile: then this connection alone has stopped.
+/// The same limit while the instance returns messages on other connections: then only this connection has stopped.
 const SINGLE_SILENCE_TIMEOUT: Micros = 3_000_000;
 
-/// A command's life, from its arrival to its final answer and on to the end of its connection.
+/// Runs a command from its arrival to its final answer, and on to the end of its connection if one is established.
 pub async fn run_command<C, D>(
     broker: &Rc<Broker>,
     demand: Demand,
@@ -38,7 +38,7 @@
         }
     };
     let link = loop {
-        // The module's next word: it may be waiting for a probe.
+        // The next instruction may take a while: the decision module may be waiting for a probe.
         let instruction = tokio::select! {
             biased;
             gone = client.wait_gone() => return command.client_gone(gone, client).await,
@@ -59,8 +59,8 @@
         let Some(execution) = command.begin_execution(instance, patience, &command_metrics) else { continue };
         let result = tokio::select! {
             biased;
-            // Looked at before the connection is: whoever left in the turn in which it came up is not sent on.
-            // Dropping `execute` closes the attempt before its end is told: never two outstanding.
+            // Polled before the connection: a client that leaves in the same turn in which the connection is established is not
+            // connected. Dropping `execute` closes the attempt before its end is reported, so that two are never outstanding.
             gone = client.wait_gone() => return command.client_gone(gone, client).await,
             result = dialer.execute(&execution) => result,
             () = broker.sleep_until(execution.deadline) => Err(Outcome::Timeout),
@@ -76,8 +76,8 @@
     command.record_end(ended);
 }
 
-/// A connection that stood at this instance before the program started: it goes there and nowhere else, as
-/// often as it takes until the client's time is up.
+/// Resumes a connection that was established at this instance before the process started. Only this instance is tried, until the
+/// client's deadline.
 pub async fn resume_connection<C, D>(
     broker: &Rc<Broker>,
     demand: Demand,
@@ -122,41 +122,42 @@
     command.record_end(ended);
 }
 
+/// Answers a client that broke the protocol; one that has left gets no answer.
 async fn answer_gone_client<C: Client>(gone: ClientGone, client: &mut C) {
     if gone == ClientGone::UnexpectedInput {
         client.fail(Failure::UnexpectedInput).await
     }
 }
 
-/// Between two tries to take up a connection that stood before.
+/// Time between two attempts to resume a connection.
 const RESUME_RETRY_DELAY: Micros = 200_000;
 
-/// One command in hand. Whatever becomes of it, its execution gives exactly one `Finished`, and the module
-/// is told when it is over: at the latest when this is dropped.
+/// An active command. Each of its executions produces exactly one `Finished` event, and the decision module is notified of the
+/// command's end, at the latest when this is dropped.
 pub struct Command {
     pub(super) broker: Rc<Broker>,
     pub(super) id: CallId,
     pub(super) instructions: UnboundedReceiver<Instruction>,
     pub(super) deadline: Micros,
     pub(super) deadline_passed: bool,
-    /// The execution that is out, and since when.
+    /// Instance and start time of the current execution.
     pub(super) execution: Option<(HostId, Micros)>,
     pub(super) execution_count: u32,
-    /// Its load has been told.
+    /// Whether a first load or delay has been reported.
     pub(super) load_reported: bool,
     pub(super) established: bool,
     pub(super) ended: bool,
-    /// Its own and its link's.
+    /// Descriptors of the client's connection and of the instance's.
     pub(super) descriptors: Option<DescriptorReservation>,
 }
 
 impl Command {
-    /// The core.
+    /// Returns the broker.
     pub fn broker(&self) -> &Rc<Broker> {
         &self.broker
     }
 
-    /// The next word; at the deadline, failed: the service client is owed an answer before it gives up.
+    /// Returns the next instruction; at the deadline `Fail`, so that the service client is answered before it gives up.
     async fn next_instruction(&mut self) -> Instruction {
         let instruction = tokio::select! {
             biased;
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The execution that the module asked for; none where the instance has left the list meanwhile.
+    /// Starts the execution that the decision module asked for. Returns `None` if the instance has left the list meanwhile.
     fn begin_execution(
         &mut self,
         instance: HostId,
@@ -204,6 +205,7 @@
         execution
     }
 
+    /// Reports the end of the current execution, if there is one; `ended` if the command has ended with it.
     fn finish_execution(&mut self, outcome: Outcome, ended: bool) {
         let Some((host, since)) = self.execution.take() else { return };
         let (call, attempt) = (self.id.clone(), self.execution_count - 1);
@@ -238,6 +240,7 @@
         self.finish_execution(outcome, true);
     }
 
+    /// Ends the command without a final answer of the decision module.
     fn abandon(&mut self) {
         if !std::mem::replace(&mut self.ended, true) {
             self.broker.handle_event(Event::Vanished { call: self.id.clone() });
@@ -245,13 +248,14 @@
         self.finish_execution(Outcome::Cancelled, true);
     }
 
-    /// The attempt's end is told before the service client is: never two outstanding.
+    /// Ends the command of a client that has left or broke the protocol. The end of the attempt is reported before the client is
+    /// answered, so that two attempts are never outstanding.
     async fn client_gone<C: Client>(mut self, gone: ClientGone, client: &mut C) {
         self.abandon();
         answer_gone_client(gone, client).await
     }
 
-    /// Ends when the service client is to be asked to come again.
+    /// Completes when the service client is to be asked to reconnect.
     pub async fn move_requested(&mut self) {
         loop {
             match self.instructions.recv().await {
@@ -262,12 +266,13 @@
         }
     }
 
-    /// A figure that its instance tells on the connection: the load of this one, or, where the settings say so
-    /// and it looks like one, how long messages take there. A load is told once when the connection opens.
+    /// Reports the value of a `LOAD` line of the instance: the load of this connection or, if the settings say that instances
+    /// report message delays and the value is classified as one, the delay of messages at the instance. The load is reported once
+    /// when the connection opens.
     pub fn report_load(&mut self, value: f64) {
         let Some((host, since)) = self.execution else { return };
         let now = self.broker.now();
-        // Among few balancers others tell of the instance too, and one idle connection must not speak for it.
+        // With few balancers other connections report on the instance too, and one idle connection must not determine its delay.
         let window = if self.broker.is_large_fleet { OPENING_LOAD_WINDOW } else { SLOW_REPORT_INTERVAL };
         let opening = !std::mem::replace(&mut self.load_reported, true) && now < since.saturating_add(window);
         if self.broker.message_delays_reported && !opening {
@@ -282,8 +287,9 @@
         self.broker.handle_event(Event::LoadNote { call: self.id.clone(), load: value });
     }
 
-    /// A message has been out for so long; whether its connection is to be ended for it. Unless others hear of
-    /// the instance meanwhile, the module is told, once a second and instance.
+    /// Reports that a message has had no reply for this time span, and returns whether its connection is to be ended. Unless the
+    /// instance returned messages on other connections meanwhile, the decision module is notified, at most once per second and
+    /// instance.
     pub fn report_silence(&self, span: Micros) -> bool {
         let Some((host, _)) = self.execution else { return true };
         let now = self.broker.now();
@@ -291,7 +297,7 @@
             let mut state = self.broker.state.borrow_mut();
             let Some(instance) = state.instances.get_mut(host) else { return span >= SILENCE_TIMEOUT };
             if instance.last_message_at > now.saturating_sub(span) {
-                // It works: what is wrong is with this connection, and no reason to leave the instance.
+                // The instance works: the fault is in this connection, and no reason to avoid the instance.
                 return span >= SINGLE_SILENCE_TIMEOUT;
             }
             if span < SLOW_REPORT_INTERVAL
@@ -307,9 +313,9 @@
         span >= SILENCE_TIMEOUT
     }
 
-    /// A message came back after so long. The module hears of it where it has heard of silence. How long it
-    /// took says nothing else: an instance returns it at once however much work is piled up there, and what we
-    /// see are delays of our own.
+    /// Reports that a message came back after this time span. The decision module is notified only if a silence was reported to it
+    /// before. The span says nothing else about the instance: an instance returns a message at once even with a long queue of work,
+    /// so other delays arise in this process.
     pub fn report_returned_message(&self, span: Micros) {
         let Some((host, _)) = self.execution else { return };
         {
@@ -326,7 +332,7 @@
 
 impl Drop for Command {
     fn drop(&mut self) {
-        // A connection that ends in no other way, even by a bug of ours, must not stay on the books.
+        // A command that ends in any other way, even through a bug in this program, must not remain registered.
         if self.execution.is_some() || !self.ended {
             self.abandon();
         }
--- a/src/broker/drain.rs
+++ b/src/broker/drain.rs
@@ -1,19 +1,21 @@
-//! Whether this balancer wants clients: starting, serving, draining at an operator's step, or leaving for good.
+//! The serving state of this balancer: starting, serving, draining on an operator's command, or shutting down.
 //!
-//! Promised: while it drains or leaves, every connection that stands is counted_until for a move by its end, evenly over the
-//! time until then, and whoever is set up later goes at once. Not promised: that those who were asked leave.
+//! Guaranteed: while the balancer drains or shuts down, every established connection is selected for a move by the end of the drain
+//! or shutdown, spread evenly over that time. Connections that are established after the end are selected at once. Not guaranteed:
+//! that a client that is asked to move disconnects.
 //!
 //! | state | LEAVE | JOIN | SIGTERM |
 //! | --- | --- | --- | --- |
-//! | serving | drains | stays | leaves |
-//! | draining | stays, at the schedule it had | serves; who was asked goes, the others stay | leaves, no later than it would have was_draining |
-//! | leaving | stays | refused | stays |
+//! | serving | draining | no change | shutting down |
+//! | draining | no change, same schedule | serving; connections already asked to move still do, the others stay | shutting down; moves end no later than those of the drain |
+//! | shutting down | no change | refused | no change |
 
 use crate::api::Micros;
 
-/// Moves of a drain begin so long after the word: by then the front has heard the no and sends nobody back.
+/// Time from the start of a drain to its first move: by then the client-facing load balancer has received the negative health check
+/// and sends no moved client back.
 const DRAIN_MOVE_DELAY: Micros = 400_000;
-/// And have ended by then. The platform counts who is held after 4 s as lost.
+/// Time from the start of a drain to its last move. The platform counts connections that remain after 4 s as lost.
 const DRAIN_DURATION: Micros = 3_000_000;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,63 +23,64 @@
     #[default]
     Serving,
     Draining,
-    /// For good; it may have been draining before.
+    /// Until the process ends; `was_draining` if it was draining before.
     ShuttingDown {
         was_draining: bool,
     },
 }
 
-/// The time in which connections are asked to move.
+/// The time in which connections are asked to move, and the progress.
 #[derive(Clone, Copy, Debug, Default)]
 struct MoveSchedule {
     from: Micros,
     end: Micros,
-    /// Up to when moves were counted_until, and the part of one that is left over.
+    /// Time up to which moves were counted, and the fraction of a move that is left over.
     counted_until: Micros,
     fraction: f64,
 }
 
-/// The program is to end: it comes back no more.
+/// Error: the process is shutting down and does not return to serving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShuttingDown;
 
-/// The machine.
+/// State machine of serving, draining and shutting down.
 #[derive(Debug, Default)]
 pub struct Drain {
-    /// It takes clients: from then on it can serve.
+    /// Whether the process accepts clients yet.
     started: bool,
     state: State,
     schedule: MoveSchedule,
 }
 
 impl Drain {
-    /// Clients are taken from now on.
+    /// Records that the process accepts clients from now on.
     pub fn start_serving(&mut self) {
         self.started = true;
     }
 
-    /// Whether this process is there to serve.
+    /// Returns whether this process is ready to serve.
     pub fn is_serving(&self) -> bool {
         self.started && self.state == State::Serving
     }
 
-    /// Whether the program is to end.
+    /// Returns whether the process is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         matches!(self.state, State::ShuttingDown { .. })
     }
 
-    /// Whether there may be moves to make.
+    /// Returns whether connections may have to be moved.
     pub fn is_moving_connections(&self) -> bool {
         self.state != State::Serving
     }
 
-    /// Whether the front is told to send clients. While the program leaves it is: the platform knows that already,
-    /// and where a successor shares the socket the no would be taken for its.
+    /// Returns whether health checks of the client-facing load balancer get a positive answer. They do during a shutdown that did not
+    /// start in a drain: the platform knows of the shutdown already, and where a successor shares the socket, a negative answer would
+    /// be taken for the successor's.
     pub fn passes_health_checks(&self) -> bool {
         !matches!(self.state, State::Draining | State::ShuttingDown { was_draining: true })
     }
 
-    /// LEAVE; whether that changed anything.
+    /// Handles LEAVE. Returns whether a drain has started.
     pub fn start_drain(&mut self, now: Micros) -> bool {
         let begins = self.state == State::Serving;
         if begins {
@@ -87,7 +90,7 @@
         begins
     }
 
-    /// JOIN; whether that changed anything.
+    /// Handles JOIN. Returns whether the state has changed.
     pub fn join(&mut self) -> Result<bool, ShuttingDown> {
         match self.state {
             State::ShuttingDown { .. } => Err(ShuttingDown),
@@ -98,7 +101,7 @@
         }
     }
 
-    /// SIGTERM: connections are asked between these times.
+    /// Handles SIGTERM: connections are asked to move between these times.
     pub fn shut_down(&mut self, from: Micros, end: Micros) {
         match self.state {
             State::Serving => {
@@ -117,7 +120,7 @@
         self.schedule = MoveSchedule { from, end, counted_until: from, fraction: 0.0 };
     }
 
-    /// How many of those that stand are to be asked to move now.
+    /// Returns the number of established connections to ask to move now.
     pub fn due_moves(&mut self, now: Micros, established: usize) -> usize {
         if !self.is_moving_connections() || now < self.schedule.from {
             return 0;
@@ -147,7 +150,7 @@
         Leave,
         Join,
         Term,
-        /// So many clients are set up.
+        /// This number of clients is established.
         Come(usize),
     }
 
@@ -162,14 +165,14 @@
     }
 
     proptest! {
-        /// Guards against a connection that is held past the end of a drain or of the program, one that is moved
-        /// while it serves, and a way back from SIGTERM.
+        /// Guards against a connection that is kept past the end of a drain or shutdown, one that is moved while the balancer
+        /// serves, and a return to serving after SIGTERM.
         #[test]
-        fn nobody_is_held_past_the_end_and_nobody_moves_while_it_serves(steps in steps()) {
+        fn connections_are_moved_by_the_end_and_never_while_serving(steps in steps()) {
             let (mut drain, mut now, mut established) = (Drain::default(), 1_000_000_000, 100usize);
-            prop_assert!(!drain.is_serving(), "before it takes clients");
+            prop_assert!(!drain.is_serving(), "before it accepts clients");
             drain.start_serving();
-            // When the last drain began that was not taken back, and when SIGTERM came.
+            // Start of the drain in progress, and time of SIGTERM.
             let (mut since, mut term): (Option<Micros>, Option<Micros>) = (None, None);
             for (gap, step) in steps {
                 for _ in 0..gap / 20_000 {
@@ -205,13 +208,13 @@
             }
         }
 
-        /// Guards against a burst: in no turn go more than twice what is even, as long as nobody else comes.
+        /// Guards against a burst of moves: no step moves more than twice the even share while no client connects.
         #[test]
-        fn moves_are_even(established in 1usize..2_000) {
+        fn moves_are_spread_evenly(established in 1usize..2_000) {
             let (mut drain, mut left) = (Drain::default(), established);
             drain.start_drain(0);
-            for turn in 0..150 {
-                let now = turn * 20_000;
+            for step in 0..150 {
+                let now = step * 20_000;
                 let moves = drain.due_moves(now, left);
                 prop_assert!(moves == 0 || now > DRAIN_MOVE_DELAY);
                 prop_assert!(moves <= 2 + 2 * established * 20_000 / (DRAIN_DURATION - DRAIN_MOVE_DELAY) as usize);
--- a/src/broker/front.rs
+++ b/src/broker/front.rs
@@ -1,4 +1,5 @@
-//! What a front is to the core: a side that faces service clients, one that faces instances, and the words that pass.
+//! The interface between the broker and a protocol front end: the side of service clients, the side of instances, and the outcomes that
+//! they report.
 
 use super::metrics::CommandMetrics;
 use super::{Broker, Command};
@@ -9,43 +10,43 @@
 /// Why a command has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The module gave it up, and part of it may have run.
+    /// The decision module gave it up; part of the command may have been executed.
     GivenUp,
-    /// No answer came before the service client's deadline.
+    /// The service client's deadline passed without an answer.
     Deadline,
-    /// The service client spoke before it had its answer.
+    /// The service client sent data before it had its answer.
     UnexpectedInput,
 }
 
-/// Why a command is over before its answer.
+/// Why a command ends before its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientGone {
     /// The service client has left.
     Left,
-    /// It broke the protocol, and is owed a failure.
+    /// The service client sent data before it had its answer; it is answered with a failure.
     UnexpectedInput,
 }
 
-/// How a standing connection ended.
+/// How an established connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The instance has served it to its end.
+    /// The instance ended it regularly.
     Served,
-    /// The instance broke it.
+    /// The instance closed it without a regular end.
     Broken,
-    /// The service client left, or was asked to come again.
+    /// The service client left or was asked to reconnect.
     Left,
 }
 
-/// One attempt, as a front sees it.
+/// One attempt at a command, as passed to a front end.
 pub struct Execution {
-    /// The instance.
+    /// Id of the instance.
     pub instance: HostId,
-    /// Its name.
+    /// Name of the instance.
     pub name: Rc<str>,
-    /// Where it is reached.
+    /// Address of the instance.
     pub address: SocketAddr,
-    /// When it is given up.
+    /// Time at which the attempt is given up.
     pub deadline: Micros,
     pub(super) call: CallId,
     pub(super) command_metrics: Rc<CommandMetrics>,
@@ -53,45 +54,45 @@
 }
 
 impl Execution {
-    /// Whether it may be sent still: to be asked right before the first byte, since the instance may have begun to drain
-    /// while the connection was made, or the window of a repeat may have closed.
+    /// Returns whether the attempt may still be sent. To be called right before the first byte is sent, since the instance may have
+    /// started to drain while the connection was made, or the time window for a repeated attempt may have ended.
     pub fn may_send(&self) -> bool {
         let state = self.broker.state.borrow();
         let allowed = state.core.attempt_still_allowed(self.broker.now(), &self.call, self.instance);
         allowed && state.instances.is_ready(self.instance)
     }
 
-    /// Its first words were written whole: from now on it may run.
+    /// Records that the request was sent completely: from now on the instance may execute it.
     pub fn record_sent(&self) {
         self.command_metrics.record_attempt();
     }
 
-    /// What is left of its time.
+    /// Returns the time left until the deadline.
     pub fn remaining(&self) -> Micros {
         self.deadline.saturating_sub(self.broker.now())
     }
 }
 
-/// A front's side that faces instances.
+/// The side of a front end that connects to instances.
 #[allow(async_fn_in_trait)] // one thread: no future needs to be `Send`
 pub trait Dialer {
     /// An open connection to an instance that has accepted.
     type Link;
-    /// Makes an execution; dropping the future gives it up and closes what it opened.
+    /// Carries out an execution; dropping the future cancels it and closes its connection.
     async fn execute(&self, execution: &Execution) -> Result<Self::Link, Outcome>;
 }
 
-/// A front's side that faces a service client.
+/// The side of a front end that serves a service client.
 #[allow(async_fn_in_trait)]
 pub trait Client {
     /// An open connection to an instance that has accepted.
     type Link;
-    /// Ends when the service client has left, or has lost its claim to be served.
+    /// Completes when the service client has left or broken the protocol.
     async fn wait_gone(&mut self) -> ClientGone;
-    /// Passes everything on, both ways, until the connection ends.
+    /// Relays data in both directions until the connection ends.
     async fn relay(&mut self, link: Self::Link, command: &mut Command) -> ConnectionEnd;
-    /// Final answer: refused; come again after so long.
-    async fn nack(&mut self, after: Option<Micros>);
-    /// Final answer: failed.
-    async fn fail(&mut self, why: Failure);
+    /// Sends the final answer: refused, with a retry delay.
+    async fn nack(&mut self, retry_after: Option<Micros>);
+    /// Sends the final answer: failed.
+    async fn fail(&mut self, failure: Failure);
 }
--- a/src/broker/metrics.rs
+++ b/src/broker/metrics.rs
@@ -1,20 +1,20 @@
-//! What the balancer counts for its operators, from its start on.
+//! Counters and gauges for operators, from the start of the process.
 //!
-//! Promised: a command is pending while its [`CommandMetrics`] lives and ends under exactly one count. Not promised: counts of
-//! what is no command yet (a first line that cannot be read names no class).
+//! Guaranteed: a command counts as pending from its arrival until it is refused, fails or its established connection ends, and is
+//! counted under exactly one result. Not counted: connections whose first line cannot be read, since they name no class.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// How a command ended, as far as its service client is concerned.
+/// The result of a command for its service client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandResult {
-    /// Brought up.
+    /// Established.
     Completed,
-    /// Refused: it may come again.
+    /// Refused; the client may retry.
     Rejected,
-    /// Failed, or left before its answer.
+    /// Failed, or the client left before its answer.
     Failed,
 }
 
@@ -26,16 +26,16 @@
     attempts: u64,
 }
 
-/// What is seen of the list at this moment.
+/// Current numbers of instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Instances that it names.
+    /// Instances on the list.
     pub listed: usize,
-    /// Those of them that nothing new is sent to now.
+    /// Listed instances that accept no new connections now.
     pub unavailable: usize,
 }
 
-/// The books.
+/// All counters and gauges of the balancer.
 #[derive(Default)]
 pub struct Metrics {
     classes: RefCell<Vec<Counts>>,
@@ -43,25 +43,25 @@
 }
 
 impl Metrics {
-    /// Books for so many classes.
+    /// Creates metrics for this number of classes.
     pub fn new(classes: usize) -> Rc<Metrics> {
         Rc::new(Metrics { classes: RefCell::new(vec![Counts::default(); classes]), pending: Cell::new(0) })
     }
 
     fn update_counts(&self, class: usize, change: impl FnOnce(&mut Counts)) {
-        // A class that the settings do not name is not asked for: the fronts refuse it.
+        // Every class is within the range: the front ends refuse a class that the settings do not name.
         if let Some(counts) = self.classes.borrow_mut().get_mut(class) {
             change(counts);
         }
     }
 
-    /// A command of a class was taken.
+    /// Counts a new command of a class as pending.
     pub fn begin_command(self: &Rc<Self>, class: usize) -> CommandMetrics {
         self.pending.set(self.pending.get() + 1);
         CommandMetrics { metrics: self.clone(), class, result: Cell::new(None) }
     }
 
-    /// The lines of all figures.
+    /// Returns all metrics as text, one line each.
     pub fn lines(&self, names: &[String], members: MemberCounts) -> String {
         let mut text = String::new();
         for (name, c) in names.iter().zip(self.classes.borrow().iter()) {
@@ -85,7 +85,7 @@
     }
 }
 
-/// One command in the books, until it is dropped.
+/// The metrics of one command, which counts as pending at most until this is dropped.
 pub struct CommandMetrics {
     metrics: Rc<Metrics>,
     class: usize,
@@ -93,7 +93,7 @@
 }
 
 impl CommandMetrics {
-    /// It has ended so; only the first word counts. One that was brought up is pending until this is dropped.
+    /// Records the result; only the first one counts. An established command stays pending until this is dropped.
     pub fn record_result(&self, end: CommandResult) {
         if self.result.get().is_none() {
             self.result.set(Some(end));
@@ -112,7 +112,7 @@
         self.metrics.pending.set(self.metrics.pending.get() - 1);
     }
 
-    /// An attempt was written whole to an instance.
+    /// Counts an attempt that was sent completely to an instance.
     pub fn record_attempt(&self) {
         self.metrics.update_counts(self.class, |c| c.attempts += 1);
     }
@@ -132,9 +132,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a command under two counts or none, and a figure that appears only once it counts.
+    /// Guards against a command that is counted twice or not at all, and a metric that is missing until its first count.
     #[test]
-    fn a_command_ends_under_one_count_and_every_class_is_there_from_the_start() {
+    fn each_command_has_one_result_and_every_class_is_listed_from_the_start() {
         let metrics = Metrics::new(2);
         let names = ["chat".to_string(), "watch".to_string()];
         let members = MemberCounts { listed: 5, unavailable: 2 };
@@ -142,12 +142,12 @@
         let start = read();
         assert_eq!(start.lines().count(), 11);
         assert!(start.lines().take(8).all(|line| line.ends_with(":0|c")), "{start}");
-        let taken = metrics.begin_command(1);
-        taken.record_attempt();
-        taken.record_result(CommandResult::Completed);
-        taken.record_result(CommandResult::Failed);
+        let command = metrics.begin_command(1);
+        command.record_attempt();
+        command.record_result(CommandResult::Completed);
+        command.record_result(CommandResult::Failed);
         assert!(read().contains("lb.pending:1|g\r\nlb.members:5|g\r\nlb.members_unavailable:2|g\r\n"));
-        drop(taken);
+        drop(command);
         drop(metrics.begin_command(0));
         metrics.begin_command(0).record_result(CommandResult::Rejected);
         let text = read();
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,8 +1,8 @@
-//! The core: owns the decision module and carries out what it says. It knows no bytes; the fronts see
+//! The broker: passes events to the decision module and carries out its actions. It does no socket I/O; the protocol front ends use
 //! [`run_command`], [`Client`], [`Dialer`] and [`Command`].
 //!
-//! The shop's words: a *command* is a request, an *execution* one attempt at it, an *instance* a session
-//! server, a *nack* a refusal, the *service client* whoever asks.
+//! Terms: a *command* is a request for a connection, an *execution* is one attempt at it, an *instance* is a session server, a
+//! *nack* is a refusal, and a *service client* is the process that sent the request.
 
 mod command;
 pub mod core;
@@ -38,22 +38,22 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{watch, Notify};
 
-/// DescriptorReservation of a connection with a command: its own and its link's.
+/// Number of file descriptors that a command uses: one for the service client's connection and one for the instance's.
 const DESCRIPTORS_PER_CONNECTION: usize = 2;
-/// Answers leave this long before the service client gives up, so that they arrive in time.
+/// Time before the service client's deadline at which an answer is sent, so that it arrives in time.
 const ANSWER_MARGIN: Micros = 15_000;
-/// What the core asks of the network beside executions.
+/// A request to the network code other than an execution.
 #[derive(Debug)]
 pub enum NetworkRequest {
-    /// Probe an instance and say how it went with [`Broker::probed`].
+    /// Probe an instance and report the result with [`Broker::record_probe`].
     Probe(HostId, SocketAddr),
-    /// Watch discovery from this version of the list on, and say so when the watch ends.
+    /// Watch the list at discovery from this version on, and report the end of the watch with [`Broker::watch_ended`].
     Watch(u64),
-    /// Discovery is at this address from now on.
+    /// Use this address for discovery.
     SetDiscoveryAddress(SocketAddr),
 }
 
-/// What the module, or the program's end, says to a command.
+/// An instruction of the decision module, or of a drain or shutdown, to a command.
 #[derive(Debug)]
 enum Instruction {
     Execute { instance: HostId, patience: Micros },
@@ -62,7 +62,7 @@
     Move,
 }
 
-/// Refused before anything was spent on it, by its contract or for want of descriptors; come again after so long.
+/// A command was refused before its first execution, by its contract or for lack of file descriptors. Holds the retry delay.
 struct Refused(Option<Micros>);
 
 #[derive(Default)]
@@ -70,37 +70,37 @@
     core: Core,
     instances: Instances,
     commands: BTreeMap<CallId, UnboundedSender<Instruction>>,
-    /// Standing connections, in the order in which they came.
+    /// Established connections, in the order in which they were established.
     established: VecDeque<CallId>,
 }
 
-/// What is known of the list of servers that is held.
+/// State of the instance list in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// It came with the configuration; its age is unknown.
+    /// The list was read from the configuration; its age is unknown.
     Configured,
-    /// Discovery has told all that had changed.
+    /// Discovery has answered with all changes of the list.
     Confirmed,
-    /// The last call failed, or the watch has ended.
+    /// The last call to discovery failed, or the watch has ended.
     Unreachable,
 }
 
-/// The core of one balancer.
+/// The broker of one balancer process.
 pub struct Broker {
     state: RefCell<State>,
     clock: Clock,
     deadlines: Rc<Deadlines>,
     names: Names,
-    /// Whether instances tell how long messages take there.
+    /// Whether instances report the delay of messages.
     message_delays_reported: bool,
-    /// Changes of the list count as told, asked for or not.
+    /// Whether list changes count as notified to this balancer even when it did not ask for them.
     list_is_pushed: bool,
-    /// It is one of so many that it mostly has one connection at an instance.
+    /// Whether the fleet has so many balancers that each usually has a single connection per instance.
     is_large_fleet: bool,
-    /// The longest that a client waits.
+    /// Longest deadline of any class.
     max_deadline: Micros,
     class_deadlines: Vec<Micros>,
-    /// When contracts are looked at next, and what says that it has become due_changed.
+    /// Time of the next scheduled work. `due_changed` notifies the task that runs it when this time becomes earlier.
     next_due: Cell<Micros>,
     due_changed: Notify,
     connect_timeout: Micros,
@@ -109,14 +109,15 @@
     free_descriptors: Cell<usize>,
     drain: RefCell<Drain>,
     metrics: Rc<Metrics>,
-    /// Says that moves of a drain are to be looked at.
+    /// Notifies the task that moves connections when a drain or shutdown starts.
     drain_started: Notify,
-    /// What discovery has answered in this run.
+    /// State of the list since the start of the process.
     list_state: watch::Sender<ListState>,
 }
 
 impl Broker {
-    /// A core that knows no instance yet; `descriptors` is how many the connections may hold.
+    /// Creates a broker without instances, and the receiver of its requests to the network code. `descriptors` is the number of file
+    /// descriptors that connections may use.
     pub fn new(
         settings: Settings,
         names: Names,
@@ -148,37 +149,37 @@
         Ok((Rc::new(broker), request_receiver))
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Ends at that time.
+    /// Returns a future that completes at this time.
     pub fn sleep_until(&self, at: Micros) -> Sleep {
         self.deadlines.sleep_until(at)
     }
 
-    /// Ends after that long.
+    /// Returns a future that completes after this time span.
     pub fn sleep(&self, span: Micros) -> Sleep {
         self.sleep_until(self.now().saturating_add(span))
     }
 
-    /// Names of classes, tenants and zones.
+    /// Returns the names of classes, tenants and zones.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// How long the list may go unasked for.
+    /// Returns the longest allowed time between two requests for the list; `Micros::MAX` if there is no limit.
     pub fn max_poll_interval(&self) -> Micros {
         self.max_poll_interval.unwrap_or(Micros::MAX)
     }
 
-    /// How long a connection to an instance may take to come up.
+    /// Returns the time limit for connecting to an instance.
     pub fn connect_timeout(&self) -> Micros {
         self.connect_timeout
     }
 
-    /// How long a service client of a class waits.
+    /// Returns how long a service client of this class waits for its answer.
     pub fn deadline(&self, class: usize) -> Micros {
         self.class_deadlines
             .get(class)
@@ -187,75 +188,76 @@
             .unwrap_or(self.max_deadline.max(1_000_000))
     }
 
-    /// The longest that any service client waits.
+    /// Returns the longest deadline of any class.
     pub fn max_deadline(&self) -> Micros {
         self.max_deadline
     }
 
-    /// Takes descriptors out of the budget until the guard is dropped; none where too few are left.
+    /// Reserves file descriptors until the returned guard is dropped. Returns `None` if too few are free.
     pub fn reserve_descriptors(self: &Rc<Self>, n: usize) -> Option<DescriptorReservation> {
         self.free_descriptors.set(self.free_descriptors.get().checked_sub(n)?);
         Some(DescriptorReservation(self.clone(), n))
     }
 
-    /// Sweeps the deadlines for ever.
+    /// Runs the deadlines; does not return.
     pub async fn run_deadlines(&self) {
         self.deadlines.run(self.clock, |token| self.handle_event(Event::Timer { token })).await
     }
 
-    /// Discovery is at this address from now on.
+    /// Sets the address of discovery.
     pub fn set_discovery_address(&self, address: SocketAddr) {
-        // Cannot fail while the program runs: main holds the other end.
+        // Cannot fail while the program runs: its main task holds the receiver.
         let _ = self.network_requests.send(NetworkRequest::SetDiscoveryAddress(address));
     }
 
-    /// Version of the list held.
+    /// Returns the version of the list in use.
     pub fn list_version(&self) -> u64 {
         self.state.borrow().instances.list_version
     }
 
-    /// Whether changes of the list count as told without our asking.
+    /// Returns whether list changes count as notified to this balancer even when it did not ask for them.
     pub fn list_is_pushed(&self) -> bool {
         self.list_is_pushed
     }
 
-    /// News of the list.
+    /// Applies an update of the instance list.
     pub fn update_list(&self, kind: ListKind, listing: Listing) {
         let hosts = self.state.borrow_mut().instances.apply_update(kind, listing, &self.names);
         self.handle_event(Event::Members { kind, hosts });
         if kind == ListKind::Cached && self.list_is_pushed {
-            // The module asks where it has to. Here nobody has to, but on sockets news comes by the watch alone.
+            // The decision module requests a watch only where it must ask for changes. With pushed changes it need not, but this
+            // process still receives updates only through a watch.
             let _ = self.network_requests.send(NetworkRequest::Watch(self.list_version()));
         }
     }
 
-    /// All that discovery had to tell when it answered has been taken in.
+    /// Records that all changes up to discovery's answer have been applied.
     pub fn list_confirmed(&self) {
         self.list_state.send_replace(ListState::Confirmed);
     }
 
-    /// What discovery has answered in this run, and each change of that.
+    /// Returns a receiver of the list state and its changes.
     pub fn list_state(&self) -> watch::Receiver<ListState> {
         self.list_state.subscribe()
     }
 
-    /// The watch could not be had, or has ended.
+    /// Records that the watch could not be established, or has ended.
     pub fn watch_ended(&self) {
         self.list_state.send_replace(ListState::Unreachable);
         self.list_unavailable();
     }
 
-    /// There is no list, or no watch: the module asks.
+    /// Reports to the decision module that there is no list or no watch, so that it asks again.
     pub fn list_unavailable(&self) {
         self.handle_event(Event::Members { kind: ListKind::Failed, hosts: Vec::new() });
     }
 
-    /// How a probe went.
+    /// Records the result of a probe.
     pub fn record_probe(&self, host: HostId, outcome: Outcome, load: Option<f64>) {
         self.handle_event(Event::Probed { host, outcome, load });
     }
 
-    /// The one way to the module.
+    /// Passes an event to the decision module and applies the resulting actions.
     fn handle_event(&self, event: Event) {
         let (mut actions, state) = (Vec::new(), &mut *self.state.borrow_mut());
         tracing::debug!("told: {event:?}");
@@ -264,7 +266,7 @@
         self.schedule_due(state);
     }
 
-    /// Has the core looked at when it next wants it.
+    /// Notifies the task of scheduled work if the next work is due earlier than before.
     fn schedule_due(&self, state: &mut State) {
         let due = state.core.next_due(self.now()).unwrap_or(Micros::MAX);
         if due < self.next_due.get() {
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Carries out what was decided.
+    /// Applies the actions that were decided.
     fn apply_actions(&self, state: &State, actions: Vec<Action>) {
         if !actions.is_empty() {
             tracing::debug!("decided: {actions:?}");
@@ -292,7 +294,7 @@
                 }
                 Action::Probe { host } => {
                     if let Some(instance) = state.instances.get(host) {
-                        // Cannot fail while the program runs: main holds the other end.
+                        // Cannot fail while the program runs: its main task holds the receiver.
                         let _ = self.network_requests.send(NetworkRequest::Probe(host, instance.address));
                     }
                     continue;
@@ -303,7 +305,7 @@
                 }
             };
             if let Some(command) = state.commands.get(&call) {
-                // A command that has just ended needs no word.
+                // Fails only for a command that has just ended; it needs no instruction.
                 let _ = command.send(instruction);
             }
         }
@@ -328,15 +330,15 @@
         }
     }
 
-    /// Whether this id is in hand already.
+    /// Returns whether a command with this id is active.
     pub fn has_command(&self, call: &str) -> bool {
         self.state.borrow().commands.contains_key(call)
     }
 
-    /// Takes a command on, unless contracts refuse it.
+    /// Accepts a command, or refuses it by its contract or for lack of file descriptors.
     fn accept(self: &Rc<Self>, mut demand: Demand, team: Option<&str>) -> Result<Command, Refused> {
         demand.left = demand.left.saturating_sub(ANSWER_MARGIN);
-        // Contracts first: a flood that they refuse must not use up what the others' links need.
+        // Contracts are checked first: a flood of commands that they refuse must not use up the descriptors that other teams need.
         let admitted = {
             let state = &mut *self.state.borrow_mut();
             let admitted = state.core.admit(self.now(), &mut demand, team);
@@ -347,14 +349,14 @@
             tracing::debug!(team, reason = refused.reason.name(), "refused by contract");
             return Err(Refused(refused.retry_after));
         }
-        // Counted before it is placed: one that cannot have its link must not fail at its instance.
+        // Descriptors are reserved before placement: a command that could not open its link would count as a failure of the instance.
         let Some(descriptors) = self.reserve_descriptors(DESCRIPTORS_PER_CONNECTION) else {
-            tracing::warn!("the descriptors are used up: a command was turned away");
+            tracing::warn!("no file descriptors are free: a command was refused");
             self.state.borrow_mut().core.withdraw(self.now(), &demand.call);
             return Err(Refused(None));
         };
-        // A little after the module's own deadline, which it counts from when it is told: else a time-out at
-        // the deadline comes before it, and the module tries once more with no time left.
+        // Slightly later than the decision module's own deadline, which starts when it receives the event: otherwise a timeout here
+        // comes first, and the module starts one more attempt with no time left.
         let mut command = self.register(&demand.call, demand.left.saturating_add(1_000));
         command.descriptors = Some(descriptors);
         self.handle_event(Event::Demand(demand));
@@ -375,7 +377,7 @@
         command
     }
 
-    /// Does what is due without an event, for ever.
+    /// Runs work that is due without an event, such as changes of reserves and rebalancing moves; does not return.
     pub async fn run_scheduled_work(self: &Rc<Self>) -> ! {
         loop {
             {
@@ -383,10 +385,10 @@
                 state.core.run_due(self.now(), &mut actions);
                 for event in state.core.take_rebalance_events() {
                     match event {
-                        PlanEvent::Started(n, worst) => tracing::info!(n, worst, "rebalancing begins"),
-                        PlanEvent::Paused(cause) => tracing::info!(cause, "rebalancing rests"),
+                        PlanEvent::Started(n, worst) => tracing::info!(n, worst, "rebalancing started"),
+                        PlanEvent::Paused(cause) => tracing::info!(cause, "rebalancing paused"),
                         PlanEvent::Finished(moved, worst) => {
-                            tracing::info!(moved, worst, "rebalancing has ended")
+                            tracing::info!(moved, worst, "rebalancing finished")
                         }
                     }
                 }
@@ -400,7 +402,7 @@
         }
     }
 
-    /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
+    /// Replaces the contracts in force, or removes them, and returns the changes. The terms must be valid.
     pub fn set_contracts(&self, terms: Option<Terms>) -> Vec<TermsChange> {
         let state = &mut *self.state.borrow_mut();
         let changes = state.core.set_contracts(self.now(), terms);
@@ -408,31 +410,32 @@
         changes
     }
 
-    /// Slow rebalancing by these terms from now on, or none.
+    /// Enables rebalancing with these settings, or disables it.
     pub fn set_rebalance(&self, terms: Option<crate::rebalance::RebalanceSettings>) {
         let state = &mut *self.state.borrow_mut();
         state.core.set_rebalance(self.now(), terms);
         self.schedule_due(state);
     }
 
-    /// Zones by the fleet's plan from now on.
+    /// Enables routing to zones by the fleet's plan.
     pub fn enable_zones(&self, terms: crate::failover::FailoverSettings, context: zones::BalancerContext) {
         self.state.borrow_mut().core.enable_zones(terms, context);
     }
 
-    /// The fleet's plan as the record has it: whoever it has elsewhere is asked to move, at the fleet's pace.
+    /// Applies the plan of the replicated state. Connections that it places in another zone are asked to move, at the rate allowed for
+    /// the fleet.
     pub fn follow_plan(&self, plan: Option<&Plan>) {
         let state = &mut *self.state.borrow_mut();
         let (moves, changed) = state.core.follow_plan(self.now(), plan);
         match changed {
             Some(Some(serial)) => tracing::info!(serial, "zones: another plan is followed"),
-            Some(None) => tracing::warn!("zones: no plan is valid any more: this balancer judges alone"),
+            Some(None) => tracing::warn!("zones: no plan is valid any more: zones are chosen without a plan"),
             None => {}
         }
         self.apply_actions(state, moves);
     }
 
-    /// What was seen of the zones here, where there is a plan to be made of it.
+    /// Returns the digest of this balancer's zone observations and starts the zone probes that are due; `None` without failover.
     pub fn digest(&self) -> Option<Digest> {
         let state = &mut *self.state.borrow_mut();
         let (digest, probes) = state.core.digest(self.now())?;
@@ -440,20 +443,20 @@
         Some(digest)
     }
 
-    /// In a group: until when, by [`Broker::now`], this balancer may move connections home. From then on it moves none, whoever is
-    /// late to say so.
+    /// In a group: sets the time, by [`Broker::now`], until which this balancer may rebalance. From then on it moves no connection, even
+    /// if the notification that the lease has ended arrives late.
     pub fn may_rebalance_until(&self, until: Micros) {
         let state = &mut *self.state.borrow_mut();
         state.core.may_rebalance_until(until);
         self.schedule_due(state);
     }
 
-    /// Shows the contracts, where there are any.
+    /// Returns the result of `show` on the contracts, or `None` without contracts.
     pub fn contracts<T>(&self, show: impl FnOnce(&Contracts) -> T) -> Option<T> {
         self.state.borrow().core.contracts().map(show)
     }
 
-    /// Books a command of a class until this is dropped: one that is given no end by then has failed.
+    /// Counts a command of a class as pending until the returned value is dropped. A command without a result by then counts as failed.
     pub fn count_command(&self, class: usize) -> Rc<CommandMetrics> {
         Rc::new(self.metrics.begin_command(class))
     }
@@ -486,46 +489,46 @@
         })
     }
 
-    /// Whether the front is told to send clients.
+    /// Returns whether health checks of the client-facing load balancer get a positive answer.
     pub fn passes_health_checks(&self) -> bool {
         self.drain.borrow().passes_health_checks()
     }
 
-    /// What stands here, for the process after this one.
+    /// Returns the established connections, for the handover to the next process.
     pub fn established_connections(&self) -> Vec<HandedOverConnection> {
         self.state.borrow().core.established_connections(self.now())
     }
 
-    /// What stands at the process before this one.
+    /// Counts the connections that are established at the previous process.
     pub fn inherit_connections(&self, stands: Vec<HandedOverConnection>) {
         let state = &mut *self.state.borrow_mut();
         state.core.inherit_connections(self.now(), stands);
         self.schedule_due(state);
     }
 
-    /// The process before this one has ended.
+    /// Records that the previous process has ended.
     pub fn predecessor_ended(&self) {
         self.state.borrow_mut().core.predecessor_ended(self.now());
     }
 
-    /// Clients are taken from now on.
+    /// Records that this process accepts clients from now on.
     pub fn start_serving(&self) {
         self.drain.borrow_mut().start_serving();
     }
 
-    /// Whether the program is to end.
+    /// Returns whether the process is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         self.drain.borrow().is_shutting_down()
     }
 
-    /// The program is to end: every service client is asked to come again between these times.
+    /// Starts the shutdown: every service client is asked to reconnect between these times.
     pub fn shut_down(&self, from: Micros, end: Micros) {
         self.drain.borrow_mut().shut_down(from, end);
         self.drain_started.notify_one();
     }
 
-    /// Asks service clients to come again while this balancer drains or leaves, for ever. Rebalancing rests
-    /// meanwhile: one cause of moves at a time.
+    /// Asks service clients to reconnect while this balancer drains or shuts down; does not return. Rebalancing is paused meanwhile,
+    /// so that moves have one cause at a time.
     pub async fn run_drain(&self) -> ! {
         loop {
             if !self.drain.borrow().is_moving_connections() {
@@ -533,7 +536,7 @@
             }
             self.sleep(STEP_INTERVAL).await;
             let state = &mut *self.state.borrow_mut();
-            state.core.pause_rebalance(self.now(), "the balancer drains");
+            state.core.pause_rebalance(self.now(), "the balancer is draining");
             let moves = self.drain.borrow_mut().due_moves(self.now(), state.established.len());
             for call in state.established.drain(..moves) {
                 if let Some(command) = state.commands.get(&call) {
@@ -543,16 +546,16 @@
         }
     }
 
-    /// How many commands are in hand or stand.
+    /// Returns the number of commands, pending and established.
     pub fn active_commands(&self) -> usize {
         self.state.borrow().commands.len()
     }
 }
 
-/// Between two looks at what is done bit by bit.
+/// Shortest time between two steps of scheduled work and of a drain.
 const STEP_INTERVAL: Micros = 20_000;
 
-/// A part of the descriptor budget.
+/// Reserved file descriptors; dropping it returns them.
 pub struct DescriptorReservation(Rc<Broker>, usize);
 
 impl Drop for DescriptorReservation {
