--- a/src/broker/deadlines.rs
+++ b/src/broker/deadlines.rs
@@ -1,4 +1,4 @@
-//! All deadlines of the program: one sorted structure, swept by one task. Nothing else sleeps.
+//! All deadlines of the process: one sorted map, processed by one task. Nothing else sleeps.
 
 use crate::api::Micros;
 use std::cell::{Cell, RefCell};
@@ -11,8 +11,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The time as the module counts it: Unix time when the program started, and from there on a clock that only
-/// goes forward. The list's start times are Unix times, so the two compare.
+/// The clock of the decision module: Unix time at the start of the process, advanced by a monotonic clock. It can be compared with
+/// the start times in the instance list, which are Unix times.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Micros,
@@ -20,19 +20,19 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Returns a clock that starts at the current Unix time.
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { origin: unix.as_micros() as Micros, started: Instant::now() }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.origin.saturating_add(self.started.elapsed().as_micros() as Micros)
     }
 
     fn instant(&self, at: Micros) -> Instant {
-        // A deadline beyond any clock is as good as one in a day: the sweep then looks again.
+        // A deadline that the clock cannot represent is treated as one in a day: the task then checks again.
         let span = Duration::from_micros(at.saturating_sub(self.origin));
         self.started + span.min(self.started.elapsed() + Duration::from_secs(86_400))
     }
@@ -47,13 +47,13 @@
 type Key = (Micros, u64);
 
 enum Waiter {
-    /// A task waits in a [`Sleep`].
+    /// The task that awaits a [`Sleep`].
     Task(Option<Waker>),
-    /// The module asked to be on_timer.
+    /// Token of a timer that the decision module set.
     Timer(u64),
 }
 
-/// The sorted structure.
+/// Deadlines in the order of time.
 #[derive(Default)]
 pub struct Deadlines {
     waiters: RefCell<BTreeMap<Key, Waiter>>,
@@ -73,17 +73,17 @@
         key
     }
 
-    /// Has `reminders` told of this token at that time.
+    /// Sets a timer: its token is passed to `on_timer` of [`Deadlines::run`] at this time.
     pub fn add_timer(&self, at: Micros, token: u64) {
         self.add(at, Waiter::Timer(token));
     }
 
-    /// Ends at that time.
+    /// Returns a future that completes at this time.
     pub fn sleep_until(self: &Rc<Self>, at: Micros) -> Sleep {
         Sleep { key: self.add(at, Waiter::Task(None)), deadlines: self.clone(), expired: false }
     }
 
-    /// Sweeps for ever: everything that is due at the turn ends in it.
+    /// Processes deadlines; does not return. All deadlines that are due are processed in one pass.
     pub async fn run(&self, clock: Clock, mut on_timer: impl FnMut(u64)) {
         loop {
             let first = self.waiters.borrow().first_key_value().map(|(&(at, _), _)| at);
@@ -117,7 +117,7 @@
     }
 }
 
-/// A future that ends at a deadline; dropping it takes the deadline back.
+/// A future that completes at a deadline; dropping it removes the deadline.
 pub struct Sleep {
     key: Key,
     deadlines: Rc<Deadlines>,
@@ -134,7 +134,7 @@
                     *waker = Some(cx.waker().clone());
                     true
                 }
-                // Swept away: it is over.
+                // Removed by `run`: it has expired.
                 _ => false,
             };
             self.expired = !is_waiting;
--- a/src/broker/handover.rs
+++ b/src/broker/handover.rs
@@ -1,85 +1,86 @@
-//! What a process that ends hands to the one after it: the connections that stand, as the new one is to book them
-//! until their clients come back.
+//! The handover from a process that ends to its successor: the established connections, which the successor counts until their
+//! clients reconnect.
 //!
-//! Promised: what is read is whole, of this version, of this balancer, and was written just now; else an [`HandoverError`]
-//! says why it is not. Not promised: that there is anything to read.
+//! Guaranteed: a handover that is read is complete, of this format version, of this balancer, and was written just before; otherwise
+//! a [`HandoverError`] gives the reason. Not guaranteed: that there is a handover to read.
 
 use crate::api::{HostId, Micros};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh64::xxh64;
 
-/// In front of it, with the version: another version's is not read.
+/// Start of the file, with the format version. Other versions are not read.
 const MAGIC: &str = "oakdeal-handover-1";
-/// The most that is read: some ten thousand connections.
+/// Largest file that is read; enough for about ten thousand connections.
 pub const MAX_BYTES: usize = 4 << 20;
-/// Older than this it is from before: the platform ends the old process within seconds of the new one's yes.
+/// Largest age of a handover. An older file is left over from an earlier upgrade: the platform ends the old process within seconds
+/// of the first positive health check of the new one.
 const MAX_AGE: Micros = 10_000_000;
 
-/// A connection that stands.
+/// An established connection of the previous process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandedOverConnection {
-    /// Its class, by name.
+    /// Name of the class.
     pub class: String,
-    /// The team that its client named.
+    /// Team that the client named.
     pub team: Option<String>,
-    /// The client key.
+    /// Key of the client.
     pub key: Option<String>,
-    /// The group key.
+    /// Group of the client.
     pub group: Option<String>,
-    /// Where it stands.
+    /// Instance of the connection.
     pub instance: HostId,
-    /// What it asks for, where that was told.
+    /// Load of the connection, if it was reported.
     pub load: Option<f64>,
 }
 
-/// All of it.
+/// The content of a handover file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
-    /// Whose it is.
+    /// Name of the balancer.
     pub balancer: String,
-    /// When it was written, in Unix time.
+    /// Time of writing, in Unix time.
     #[serde(rename = "at")]
     pub written_at: Micros,
-    /// Until when the old process may go on, in Unix time.
+    /// Latest end of the previous process, in Unix time.
     #[serde(rename = "until")]
     pub predecessor_exit: Micros,
-    /// What stands.
+    /// The established connections.
     #[serde(rename = "stands")]
     pub connections: Vec<HandedOverConnection>,
 }
 
-/// Why what was found is not taken up.
+/// Why a handover is not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverError {
-    /// It is no handover, or another version's.
+    /// The file is no handover or has another format version.
     UnknownFormat,
-    /// It is not whole.
+    /// The file is truncated or damaged.
     Corrupt,
-    /// It is another balancer's.
+    /// It was written by another balancer.
     WrongBalancer,
-    /// It is from before.
+    /// It was written too long ago or by a clock that is ahead.
     Expired,
 }
 
 impl std::fmt::Display for HandoverError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            HandoverError::UnknownFormat => "is no handover of this version",
+            HandoverError::UnknownFormat => "is not a handover of this format version",
             HandoverError::Corrupt => "is not whole",
-            HandoverError::WrongBalancer => "is another balancer's",
-            HandoverError::Expired => "is from before",
+            HandoverError::WrongBalancer => "was written by another balancer",
+            HandoverError::Expired => "is out of date",
         })
     }
 }
 
 impl Handover {
-    /// Its bytes.
+    /// Returns the file content.
     pub fn encode(&self) -> Vec<u8> {
         let body = serde_json::to_string(self).unwrap_or_default();
         format!("{MAGIC} {:016x}\n{body}", xxh64(body.as_bytes(), 0)).into_bytes()
     }
 
-    /// Reads it, if it is for this balancer and was written just now.
+    /// Decodes a handover of this balancer that was written just before.
     pub fn decode(bytes: &[u8], balancer: &str, now: Micros) -> Result<Handover, HandoverError> {
         let text = std::str::from_utf8(bytes).map_err(|_| HandoverError::UnknownFormat)?;
         let rest = text
@@ -93,7 +94,7 @@
         let read: Handover = serde_json::from_str(body).map_err(|_| HandoverError::UnknownFormat)?;
         match read {
             read if read.balancer != balancer => Err(HandoverError::WrongBalancer),
-            // One from the future is of a clock that was set back since.
+            // A time in the future was written before the clock was set back.
             read if read.written_at.abs_diff(now) > MAX_AGE => Err(HandoverError::Expired),
             read => Ok(read),
         }
@@ -107,8 +108,8 @@
 
     const NOW: Micros = 1_700_000_000_000_000;
 
-    fn one() -> Handover {
-        let stand = HandedOverConnection {
+    fn example() -> Handover {
+        let connection = HandedOverConnection {
             class: "watch".into(),
             team: None,
             key: Some("k".into()),
@@ -120,14 +121,14 @@
             balancer: "n0".into(),
             written_at: NOW,
             predecessor_exit: NOW + 5,
-            connections: vec![stand],
+            connections: vec![connection],
         }
     }
 
     #[test]
-    fn what_does_not_fit_is_said_to() {
-        let bytes = one().encode();
-        assert_eq!(Handover::decode(&bytes, "n0", NOW + 9_000_000), Ok(one()));
+    fn a_handover_of_another_balancer_time_or_format_is_refused() {
+        let bytes = example().encode();
+        assert_eq!(Handover::decode(&bytes, "n0", NOW + 9_000_000), Ok(example()));
         assert_eq!(Handover::decode(&bytes, "n1", NOW), Err(HandoverError::WrongBalancer));
         assert_eq!(Handover::decode(&bytes, "n0", NOW + 11_000_000), Err(HandoverError::Expired));
         assert_eq!(Handover::decode(&bytes, "n0", NOW - 11_000_000), Err(HandoverError::Expired));
@@ -137,23 +138,23 @@
     }
 
     proptest! {
-        /// Guards against a handover that is taken up though it was cut off or a bit of it changed.
+        /// Guards against a handover that is used although it was truncated or a bit of it was flipped.
         #[test]
-        fn a_torn_one_is_never_read(cut in any::<prop::sample::Index>(), bit in 0u8..8, flips in any::<bool>()) {
-            let mut bytes = one().encode();
+        fn a_damaged_handover_is_never_read(cut in any::<prop::sample::Index>(), bit in 0u8..8, flips in any::<bool>()) {
+            let mut bytes = example().encode();
             let at = cut.index(bytes.len());
             if flips {
                 bytes[at] ^= 1 << bit;
             } else {
                 bytes.truncate(at);
             }
-            // The sum may be written in capitals too: the same number.
-            let same = Handover::decode(&bytes, "n0", NOW).is_ok_and(|read| read == one());
+            // A flipped bit may turn a letter of the hexadecimal checksum into a capital: the value is the same.
+            let same = Handover::decode(&bytes, "n0", NOW).is_ok_and(|read| read == example());
             prop_assert!(Handover::decode(&bytes, "n0", NOW).is_err() || same);
         }
 
         #[test]
-        fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        fn arbitrary_bytes_are_refused_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
             prop_assert!(Handover::decode(&bytes, "n0", NOW).is_err());
         }
     }
--- a/src/broker/instances.rs
+++ b/src/broker/instances.rs
@@ -1,4 +1,4 @@
-//! The instances that discovery has named: where they are and whether they take anything new.
+//! The instances on the list of discovery: their addresses, states, and what is known of their message delays.
 
 use crate::api::{Entry, HostId, HostState, ListKind, Micros};
 use crate::wire::Names;
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 use xxhash_rust::xxh64::xxh64;
 
-/// News of the list, in discovery's form.
+/// An update of the instance list, in the format of discovery.
 #[derive(Deserialize, Debug)]
 pub struct Listing {
     /// Version of the list.
     pub index: u64,
-    /// Whether this is the whole list.
+    /// Whether this is the complete list.
     #[serde(default)]
     pub snapshot: bool,
     /// The entries.
@@ -24,63 +24,63 @@
 /// One entry of the list.
 #[derive(Deserialize, Debug)]
 pub struct Endpoint {
-    /// Its name, the same at every balancer.
+    /// Name, the same at every balancer.
     pub name: String,
-    /// Where it is reached from here.
+    /// Address for this balancer.
     pub address: String,
-    /// Its zone.
+    /// Name of the zone.
     pub zone: Option<String>,
-    /// Its cell.
+    /// Number of the cell.
     pub group: Option<u32>,
     /// `ready`, `draining` or `gone`.
     pub status: String,
-    /// Its size beside others.
+    /// Size relative to other instances.
     pub weight: Option<f64>,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of the last start, in Unix milliseconds; 0 for a start long ago.
     pub since_ms: Option<f64>,
 }
 
-/// An instance as the network sees it.
+/// A listed instance.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: Rc<str>,
-    /// Where it is reached.
+    /// Address of the instance.
     pub address: SocketAddr,
-    /// Its state as last told.
+    /// State in the latest update.
     pub state: HostState,
-    /// When messages there were last told to be out; none when they are not.
+    /// Time at which unanswered messages were last reported to the decision module; `None` once a message has come back.
     pub slow_reported_at: Option<Micros>,
-    /// When it last brought a message back, on any connection.
+    /// Time at which the instance last returned a message on any connection.
     pub last_message_at: Micros,
-    /// How it tells of slow messages.
+    /// Classifier of its `LOAD` lines.
     pub load_line_classifier: LoadLineClassifier,
 }
 
-/// Tells apart the two figures that come as `LOAD X`: the load of the connection, in microseconds of work a
-/// second, and the time that a message takes at the instance, in milliseconds. Nothing in the line does. But the
-/// second comes at whole seconds after the one before, whatever its connection, for as long as the instance runs
-/// (seen within 2 ms over whole days), and is told only while messages are slow.
+/// Distinguishes the two meanings of `LOAD X`: the load of the connection, in microseconds of work per second, and the delay of a
+/// message at the instance, in milliseconds. The line itself does not say which. But a delay comes a whole number of seconds after
+/// the previous delay, on whatever connection, for as long as the instance runs (within 2 ms over whole days), and only while
+/// messages are slow.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct LoadLineClassifier {
-    /// The last value that came on the beat, and when.
+    /// Time and value of the last delay, or of the last value in phase with the delays.
     last_delay: Option<(Micros, f64)>,
-    /// One that may have begun another previous.
+    /// Time of a value that may be the first delay with a new phase.
     candidate: Option<Micros>,
 }
 
-/// So far from a whole second a value may come and be on the beat: we may be late ourselves.
+/// Largest distance from a whole second of a value in phase: this process may handle it late.
 const PHASE_TOLERANCE: Micros = 60_000;
-/// A connection that asks for less work, in microseconds a second, is next to idle: most likely it is a time.
+/// Load, in microseconds of work per second, below which a connection is nearly idle. A lower value is most likely a delay.
 const MAX_NEARLY_IDLE_LOAD: f64 = 2_000.0;
-/// Below this, the first such value of an instance is believed without another on its beat: overload at the start
-/// must not wait, and hardly any load is so low.
+/// Limit in milliseconds below which the first low value of an instance is taken as a delay before a second one in phase: overload at
+/// the start must be detected without waiting, and hardly any load is so low.
 const MAX_FIRST_DELAY_MS: f64 = 500.0;
-/// The longest time, in milliseconds, that is told while an instance works: it drops what has to wait longer.
+/// Longest delay, in milliseconds, that a working instance reports: it drops messages that have to wait longer.
 const MAX_QUEUED_DELAY_MS: f64 = 5_000.0;
 
 impl LoadLineClassifier {
-    /// The time that a message takes, if that is what this value means.
+    /// Returns the message delay if the value is classified as one.
     pub fn message_delay(&mut self, now: Micros, value: f64) -> Option<Micros> {
         let in_phase = |at: Micros| {
             let (span, off) = (now.saturating_sub(at), now.saturating_sub(at) % 1_000_000);
@@ -97,28 +97,28 @@
                 return None;
             }
         };
-        // One that has stopped working has it grow by a second each second.
+        // The delay at an instance that has stopped working grows by one second each second.
         let grows_with_time = previous.is_some_and(|(_, last)| (value - last - 1000.0).abs() < 100.0);
         if value < MAX_QUEUED_DELAY_MS || grows_with_time {
             (self.last_delay, self.candidate) = (Some((now, value)), None);
             return Some((value * 1000.0) as Micros);
         }
-        // Else it is a load that came then by chance, or the first after it stopped.
+        // Otherwise it is a load in phase by chance, or the first delay after the instance has stopped.
         self.last_delay = previous.map(|(at, _)| (at, value));
         None
     }
 }
 
-/// All instances.
+/// The listed instances.
 #[derive(Default)]
 pub struct Instances {
     by_id: BTreeMap<HostId, Instance>,
-    /// Version of the list held.
+    /// Version of the list in use.
     pub list_version: u64,
 }
 
-/// The number of an instance, made from its name alone: every balancer must come to the same one, since the
-/// ring is built from it. The platform's names end in a number of eight hex digits; others are hashed.
+/// Returns the id of an instance, derived from its name alone: every balancer must derive the same one, since the ring is built from
+/// it. The platform's names end in an id of eight hexadecimal digits; other names are hashed.
 pub fn instance_id(name: &str) -> HostId {
     let tail = name.rsplit('-').next().unwrap_or_default();
     match HostId::from_str_radix(tail, 16) {
@@ -128,8 +128,8 @@
 }
 
 impl Instances {
-    /// Takes news in and hands on what the module is to be told of it. What an entry has wrong is logged and
-    /// the entry passed over: the others stand.
+    /// Applies an update and returns its entries for the decision module. An invalid entry is logged and skipped; the others are
+    /// applied.
     pub fn apply_update(&mut self, kind: ListKind, listing: Listing, names: &Names) -> Vec<Entry> {
         self.list_version = listing.index;
         let mut entries = Vec::new();
@@ -140,7 +140,7 @@
                 "gone" => HostState::Gone,
                 other => {
                     tracing::warn!(
-                        "discovery: instance {} has the unknown status {other:?}: passed over",
+                        "discovery: instance {} has the unknown status {other:?}: skipped",
                         e.name
                     );
                     continue;
@@ -148,15 +148,15 @@
             };
             let id = instance_id(&e.name);
             let known = self.by_id.get(&id);
-            // Two names with one number would be taken for one instance, and connections end up elsewhere.
+            // Two names with one id would be handled as one instance, and connections would go to the wrong one.
             if known.is_some_and(|known| *known.name != *e.name) {
-                tracing::warn!("discovery: instance {} has the number of another one: passed over", e.name);
+                tracing::warn!("discovery: instance {} has the same id as another one: skipped", e.name);
                 continue;
             }
             let address = e.address.parse().ok().or(known.map(|known| known.address));
             let Some(address) = address else {
                 tracing::warn!(
-                    "discovery: instance {} has no address in {:?}: passed over",
+                    "discovery: instance {} has an invalid address {:?}: skipped",
                     e.name,
                     e.address
                 );
@@ -185,7 +185,7 @@
             );
         }
         if kind != ListKind::Changes {
-            // What a whole list leaves out is gone.
+            // Instances that a complete list leaves out are gone.
             let named: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
             for (_, left) in self.by_id.iter_mut().filter(|(id, _)| !named.contains(id)) {
                 tracing::info!("discovery: instance {} is no longer listed", left.name);
@@ -196,22 +196,22 @@
         entries
     }
 
-    /// How many the list names.
+    /// Returns the number of listed instances.
     pub fn listed_count(&self) -> usize {
         self.by_id.len()
     }
 
-    /// One of them.
+    /// Returns an instance by its id.
     pub fn get(&self, id: HostId) -> Option<&Instance> {
         self.by_id.get(&id)
     }
 
-    /// One of them, to be changed.
+    /// Returns an instance by its id, mutably.
     pub fn get_mut(&mut self, id: HostId) -> Option<&mut Instance> {
         self.by_id.get_mut(&id)
     }
 
-    /// Whether something new may be sent there.
+    /// Returns whether an instance accepts new connections.
     pub fn is_ready(&self, id: HostId) -> bool {
         self.get(id).is_some_and(|i| i.state == HostState::Ready)
     }
@@ -221,33 +221,32 @@
 mod tests {
     use super::*;
 
-    /// Guards against times taken for loads (an overloaded instance then looks idle) and loads for times.
+    /// Guards against delays taken for loads, which make an overloaded instance look idle, and loads taken for delays.
     #[test]
-    fn times_come_on_the_beat_and_loads_when_they_like() {
-        let mut load_line_classifier = LoadLineClassifier::default();
-        let mut read = |ms: u64, value: f64| {
-            load_line_classifier.message_delay(77_000_000 + ms * 1000, value).map(|us| us / 1000)
-        };
-        assert_eq!(read(100, 70_576.8), None);
-        // The first is believed at once if it is low; then only what comes a whole second later or several.
-        assert_eq!(read(500, 1_380.4), None);
-        assert_eq!(read(873, 345.9), None);
-        assert_eq!(read(1_873, 845.9), Some(845));
-        assert_eq!(read(2_240, 1_420.0), None, "a connection that is next to idle");
-        assert_eq!(read(2_874, 2_682.0), Some(2_682));
-        assert_eq!(read(2_900, 31_827.8), None);
-        assert_eq!(read(4_874, 38.4), Some(38));
-        assert_eq!(read(5_875, 31_827.8), None, "a load that comes on the beat by chance");
-        // It stopped working: its time grows_with_time with the clock.
-        assert_eq!(read(6_873, 60_802.4), None);
-        assert_eq!(read(7_873, 61_802.4), Some(61_802));
-        assert_eq!(read(8_873, 62_802.4), Some(62_802));
-        // It started anew, and has another previous.
-        assert_eq!(read(20_100, 66.1), None);
-        assert_eq!(read(21_101, 72.3), Some(72));
-        assert_eq!(read(22_100, 80.0), Some(80));
+    fn values_in_phase_are_delays_and_values_at_other_times_are_loads() {
+        let mut classifier = LoadLineClassifier::default();
+        let mut delay_ms =
+            |ms: u64, value: f64| classifier.message_delay(77_000_000 + ms * 1000, value).map(|us| us / 1000);
+        assert_eq!(delay_ms(100, 70_576.8), None);
+        // A low first value is a delay at once; later ones only a whole number of seconds after the last.
+        assert_eq!(delay_ms(500, 1_380.4), None);
+        assert_eq!(delay_ms(873, 345.9), None);
+        assert_eq!(delay_ms(1_873, 845.9), Some(845));
+        assert_eq!(delay_ms(2_240, 1_420.0), None, "the load of a nearly idle connection");
+        assert_eq!(delay_ms(2_874, 2_682.0), Some(2_682));
+        assert_eq!(delay_ms(2_900, 31_827.8), None);
+        assert_eq!(delay_ms(4_874, 38.4), Some(38));
+        assert_eq!(delay_ms(5_875, 31_827.8), None, "a load in phase by chance");
+        // The instance has stopped working: its delay grows with time.
+        assert_eq!(delay_ms(6_873, 60_802.4), None);
+        assert_eq!(delay_ms(7_873, 61_802.4), Some(61_802));
+        assert_eq!(delay_ms(8_873, 62_802.4), Some(62_802));
+        // The instance has restarted, and its delays have a new phase.
+        assert_eq!(delay_ms(20_100, 66.1), None);
+        assert_eq!(delay_ms(21_101, 72.3), Some(72));
+        assert_eq!(delay_ms(22_100, 80.0), Some(80));
         assert_eq!(LoadLineClassifier::default().message_delay(0, 345.9), Some(345_900));
-        // One connection in twenty-five asks for so little: read as a time, it moved its client off a sound instance.
+        // One connection in twenty-five has such a low load; taken for a delay, it moved a client away from a healthy instance.
         assert_eq!(LoadLineClassifier::default().message_delay(0, 3_297.4), None);
     }
 }
--- a/src/broker/load_history.rs
+++ b/src/broker/load_history.rs
@@ -1,39 +1,40 @@
-//! What clients asked for when they were last here, by team and client key: a client that comes again after a move or a
-//! break asks for about the same, but its instance may not tell that for seconds.
+//! Loads of recent clients, by team and client key. A client that reconnects after a move or a failure has about the same load as
+//! before, but its instance may not report it for seconds.
 //!
-//! Promised: bounded memory, and nothing older than [`RETENTION`].
+//! Guaranteed: bounded memory, and no load older than [`RETENTION`].
 
 use crate::api::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// So long a load is remembered: it changes every few seconds, about a usual one.
+/// Time for which a load is kept: a load changes every few seconds, around a typical value of the client.
 const RETENTION: Micros = 120_000_000;
-/// So many clients are remembered, the latest.
+/// Number of clients whose loads are kept; the earliest recorded is dropped first.
 const MAX_CLIENTS: usize = 8_192;
-/// How much of what is remembered a new figure replaces.
+/// Weight of a new value in the moving average of a client's load (unitless).
 const NEW_VALUE_WEIGHT: f64 = 0.5;
 
-/// Who a client is: its team, where it named one, and its key, which is that team's own.
+/// Identity of a client: its team, if it named one, and its key, which is unique within the team.
 pub type ClientId = (Option<Arc<str>>, Arc<str>);
 
-/// The memory.
+/// Loads of recent clients.
 #[derive(Debug, Default)]
 pub struct LoadHistory {
     loads: BTreeMap<ClientId, (f64, Micros)>,
-    /// In the order in which they were first told.
+    /// Clients in the order of their first record.
     order: VecDeque<ClientId>,
 }
 
 impl LoadHistory {
-    /// A client's load was told.
+    /// Records a load of a client.
     pub fn record(&mut self, now: Micros, client: &ClientId, load: f64) {
         if !load.is_finite() || load < 0.0 {
             return;
         }
-        if let Some((known, at)) = self.loads.get_mut(client) {
-            let old = now.saturating_sub(*at) > RETENTION;
-            (*known, *at) = (if old { load } else { *known + NEW_VALUE_WEIGHT * (load - *known) }, now);
+        if let Some((average, recorded_at)) = self.loads.get_mut(client) {
+            let expired = now.saturating_sub(*recorded_at) > RETENTION;
+            (*average, *recorded_at) =
+                (if expired { load } else { *average + NEW_VALUE_WEIGHT * (load - *average) }, now);
             return;
         }
         self.loads.insert(client.clone(), (load, now));
@@ -45,10 +46,10 @@
         }
     }
 
-    /// What a client is held to ask for.
+    /// Returns the average of a client's recent loads.
     pub fn recent_load(&self, now: Micros, client: &ClientId) -> Option<f64> {
-        let (load, at) = self.loads.get(client)?;
-        (now.saturating_sub(*at) <= RETENTION).then_some(*load)
+        let (load, recorded_at) = self.loads.get(client)?;
+        (now.saturating_sub(*recorded_at) <= RETENTION).then_some(*load)
     }
 }
 
--- a/src/broker/load_history_tests.rs
+++ b/src/broker/load_history_tests.rs
@@ -1,10 +1,10 @@
-//! Stories of what is remembered of clients.
+//! Tests of the load history.
 
 use super::*;
 
-/// Guards against memory that grows with every client, and loads of long ago.
+/// Guards against memory that grows with every client, and against the use of expired loads.
 #[test]
-fn the_latest_are_known_for_a_while() {
+fn loads_of_the_latest_clients_are_kept_until_they_expire() {
     let mut history = LoadHistory::default();
     let key = |i: usize| (None, Arc::from(format!("{i}")));
     (0..MAX_CLIENTS + 10).for_each(|i| history.record(0, &key(i), 100.0));
--- a/src/broker/occupancy.rs
+++ b/src/broker/occupancy.rs
@@ -1,25 +1,25 @@
-//! How many connections of this balancer each zone holds: established ones, and attempts that were sent and have not ended.
+//! Number of this balancer's connections in each zone: established ones, and attempts that were sent and have not ended.
 //!
-//! Invariant: an attempt or connection is counted in exactly one zone from its send to its end, also where its server leaves
-//! the list meanwhile.
+//! Invariant: an attempt or connection is counted in exactly one zone from its send to its end, even if its server leaves the list
+//! meanwhile.
 
-/// What this balancer holds in one zone.
+/// Number of this balancer's attempts and connections in one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Occupancy {
-    /// Connections that stand.
+    /// Established connections.
     pub established: u32,
-    /// Attempts that were sent and are neither up nor over.
+    /// Attempts that were sent and are neither established nor ended.
     pub in_flight: u32,
 }
 
 impl Occupancy {
-    /// All that takes up capacity.
+    /// Returns the capacity in use.
     pub fn total(self) -> u32 {
         self.established + self.in_flight
     }
 }
 
-/// The zone that a request occupies, and whether its connection stands.
+/// The zone whose capacity a request uses, and whether its connection is established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slot {
     zone: usize,
@@ -31,7 +31,7 @@
 pub struct Occupancies(Vec<Occupancy>);
 
 impl Occupancies {
-    /// What is held in a zone.
+    /// Returns the occupancy of a zone.
     pub fn of(&self, zone: usize) -> Occupancy {
         self.0.get(zone).copied().unwrap_or_default()
     }
@@ -43,19 +43,19 @@
         &mut self.0[zone]
     }
 
-    /// An attempt is sent to a zone.
+    /// Counts an attempt that is sent to a zone.
     pub fn send(&mut self, zone: usize) -> Slot {
         self.entry(zone).in_flight += 1;
         Slot { zone, established: false }
     }
 
-    /// A connection that stands already is taken in.
+    /// Counts a connection that is already established.
     pub fn adopt(&mut self, zone: usize) -> Slot {
         self.entry(zone).established += 1;
         Slot { zone, established: true }
     }
 
-    /// The attempt came up.
+    /// Marks the attempt as established.
     pub fn establish(&mut self, slot: &mut Slot) {
         if !std::mem::replace(&mut slot.established, true) {
             let entry = self.entry(slot.zone);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The attempt or the connection is over.
+    /// Stops counting an attempt or connection that has ended.
     pub fn release(&mut self, slot: Slot) {
         let entry = self.entry(slot.zone);
         match slot.established {
--- a/src/broker/operations.rs
+++ b/src/broker/operations.rs
@@ -1,41 +1,44 @@
-//! What operators may ask of a running balancer, whatever door they come through.
+//! Operator commands to a running balancer, independent of the interface that they arrive at.
 
 use super::drain::ShuttingDown;
 use super::Broker;
 use std::rc::Rc;
 
-/// The broker as operators see it.
+/// Operator access to a broker.
 #[derive(Clone)]
 pub struct Operations(Rc<Broker>);
 
 impl Operations {
-    /// That of this broker.
+    /// Creates the operator access to this broker.
     pub fn new(broker: Rc<Broker>) -> Operations {
         Operations(broker)
     }
 
-    /// Whether this process is ready to serve.
+    /// Returns whether this process is ready to serve.
     pub fn ready(&self) -> bool {
         self.0.drain.borrow().is_serving()
     }
 
-    /// All figures, a line each.
+    /// Returns all metrics, one line each.
     pub fn metrics(&self) -> String {
         self.0.metrics.lines(self.0.names.classes(), self.0.member_counts())
     }
 
-    /// Takes it out: new clients are not wanted, and those that stand are asked to come again.
+    /// Starts a drain: health checks get a negative answer, and clients of established connections are asked to reconnect.
     pub fn leave(&self) {
         if self.0.drain.borrow_mut().start_drain(self.0.now()) {
-            tracing::info!("draining: {} connections are asked to come again", self.0.active_commands());
+            tracing::info!(
+                "draining: clients of {} connections are asked to reconnect",
+                self.0.active_commands()
+            );
             self.0.drain_started.notify_one();
         }
     }
 
-    /// Takes it back to work; not once the program is to end.
+    /// Ends a drain, so that the balancer serves again. Fails if the process is shutting down.
     pub fn join(&self) -> Result<(), ShuttingDown> {
         if self.0.drain.borrow_mut().join()? {
-            tracing::info!("back to work with {} connections in hand", self.0.active_commands());
+            tracing::info!("serving again with {} open connections", self.0.active_commands());
         }
         Ok(())
     }
