--- a/src/broker/command.rs
+++ b/src/broker/command.rs
@@ -1,4 +1,5 @@
-//! The lifecycle of a command, from its arrival to its final answer, and on to the end of its connection if one is established.
+//! The lifecycle of a command, from its arrival to its final answer, and on to the end of its connection if one is
+//! established.
 
 use super::front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
 use super::metrics::{CommandMetrics, CommandResult};
@@ -9,11 +10,11 @@
 
 /// Shortest time between two reports of slow messages for one instance, as the decision module's `DelayNote` expects.
 const SLOW_REPORT_INTERVAL: Micros = 1_000_000;
-/// Time from `UP` within which the first `LOAD` value is the connection's load. An idle connection reports no load, so at an
-/// overloaded instance a later first value may be a message delay.
+/// Time from `UP` within which the first `LOAD` value is the connection's load. An idle connection reports no load, so
+/// at an overloaded instance a later first value may be a message delay.
 const OPENING_LOAD_WINDOW: Micros = 50_000;
-/// A connection on which an instance returns nothing for a message is ended after this time. The instance may have stopped up to
-/// two seconds before the message, and the connection must be ended within seven seconds of the stop.
+/// A connection on which an instance returns nothing for a message is ended after this time. The instance may have
+/// stopped up to two seconds before the message, and the connection must be ended within seven seconds of the stop.
 pub const SILENCE_TIMEOUT: Micros = 4_500_000;
 /// The same limit while the instance returns messages on other connections: then only this connection has stopped.
 const SINGLE_SILENCE_TIMEOUT: Micros = 3_000_000;
@@ -59,8 +60,9 @@
         let Some(execution) = command.begin_execution(instance, patience, &command_metrics) else { continue };
         let result = tokio::select! {
             biased;
-            // Polled before the connection: a client that leaves in the same turn in which the connection is established is not
-            // connected. Dropping `execute` closes the attempt before its end is reported, so that two are never outstanding.
+            // Polled before the connection: a client that leaves in the same turn in which the connection is
+            // established is not connected. Dropping `execute` closes the attempt before its end is reported, so that
+            // two are never outstanding.
             gone = client.wait_gone() => return command.client_gone(gone, client).await,
             result = dialer.execute(&execution) => result,
             () = broker.sleep_until(execution.deadline) => Err(Outcome::Timeout),
@@ -76,8 +78,8 @@
     command.record_end(ended);
 }
 
-/// Resumes a connection that was established at this instance before the process started. Only this instance is tried, until the
-/// client's deadline.
+/// Resumes a connection that was established at this instance before the process started. Only this instance is tried,
+/// until the client's deadline.
 pub async fn resume_connection<C, D>(
     broker: &Rc<Broker>,
     demand: Demand,
@@ -132,8 +134,8 @@
 /// Time between two attempts to resume a connection.
 const RESUME_RETRY_DELAY: Micros = 200_000;
 
-/// An active command. Each of its executions produces exactly one `Finished` event, and the decision module is notified of the
-/// command's end, at the latest when this is dropped.
+/// An active command. Each of its executions produces exactly one `Finished` event, and the decision module is notified
+/// of the command's end, at the latest when this is dropped.
 pub struct Command {
     pub(super) broker: Rc<Broker>,
     pub(super) id: CallId,
@@ -187,7 +189,8 @@
         }
     }
 
-    /// Starts the execution that the decision module asked for. Returns `None` if the instance has left the list meanwhile.
+    /// Starts the execution that the decision module asked for. Returns `None` if the instance has left the list
+    /// meanwhile.
     fn begin_execution(
         &mut self,
         instance: HostId,
@@ -248,8 +251,8 @@
         self.finish_execution(Outcome::Cancelled, true);
     }
 
-    /// Ends the command of a client that has left or broke the protocol. The end of the attempt is reported before the client is
-    /// answered, so that two attempts are never outstanding.
+    /// Ends the command of a client that has left or broke the protocol. The end of the attempt is reported before the
+    /// client is answered, so that two attempts are never outstanding.
     async fn client_gone<C: Client>(mut self, gone: ClientGone, client: &mut C) {
         self.abandon();
         answer_gone_client(gone, client).await
@@ -266,13 +269,14 @@
         }
     }
 
-    /// Reports the value of a `LOAD` line of the instance: the load of this connection or, if the settings say that instances
-    /// report message delays and the value is classified as one, the delay of messages at the instance. The load is reported once
-    /// when the connection opens.
+    /// Reports the value of a `LOAD` line of the instance: the load of this connection or, if the settings say that
+    /// instances report message delays and the value is classified as one, the delay of messages at the instance. The
+    /// load is reported once when the connection opens.
     pub fn report_load(&mut self, value: f64) {
         let Some((host, since)) = self.execution else { return };
         let now = self.broker.now();
-        // With few balancers other connections report on the instance too, and one idle connection must not determine its delay.
+        // With few balancers other connections report on the instance too, and one idle connection must not determine
+        // its delay.
         let window = if self.broker.is_large_fleet { OPENING_LOAD_WINDOW } else { SLOW_REPORT_INTERVAL };
         let opening = !std::mem::replace(&mut self.load_reported, true) && now < since.saturating_add(window);
         if self.broker.message_delays_reported && !opening {
@@ -287,9 +291,9 @@
         self.broker.handle_event(Event::LoadNote { call: self.id.clone(), load: value });
     }
 
-    /// Reports that a message has had no reply for this time span, and returns whether its connection is to be ended. Unless the
-    /// instance returned messages on other connections meanwhile, the decision module is notified, at most once per second and
-    /// instance.
+    /// Reports that a message has had no reply for this time span, and returns whether its connection is to be ended.
+    /// Unless the instance returned messages on other connections meanwhile, the decision module is notified, at most
+    /// once per second and instance.
     pub fn report_silence(&self, span: Micros) -> bool {
         let Some((host, _)) = self.execution else { return true };
         let now = self.broker.now();
@@ -313,9 +317,9 @@
         span >= SILENCE_TIMEOUT
     }
 
-    /// Reports that a message came back after this time span. The decision module is notified only if a silence was reported to it
-    /// before. The span says nothing else about the instance: an instance returns a message at once even with a long queue of work,
-    /// so other delays arise in this process.
+    /// Reports that a message came back after this time span. The decision module is notified only if a silence was
+    /// reported to it before. The span says nothing else about the instance: an instance returns a message at once even
+    /// with a long queue of work, so other delays arise in this process.
     pub fn report_returned_message(&self, span: Micros) {
         let Some((host, _)) = self.execution else { return };
         {
--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -1,9 +1,9 @@
-//! What one balancer decides, wired together once: the decision module and the contracts, in the order in which
-//! they are asked, with the books that they share. It knows no sockets and no clock, so the balancer drives it in
-//! real time and the laboratory in simulated time.
+//! All decisions of one balancer: the decision module, the contracts, rebalancing and the choice of zones, with the
+//! records of requests that they share. It has no sockets and no clock, so that the balancer runs it in real time and
+//! the laboratory in simulated time.
 //!
-//! Promised: contracts are asked before the module is; whatever was let in is given back exactly once, however it
-//! ends; moves that contracts want come out as the module's own do.
+//! Guaranteed: contracts are checked before the decision module receives a request; every admitted request is released
+//! exactly once, however it ends; moves for contracts are returned as actions, like those of the decision module.
 
 use super::handover::HandedOverConnection;
 use super::load_history::{ClientId, LoadHistory};
@@ -20,34 +20,35 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Refused by its contract: the module was never asked.
+/// A request was refused by its contract or for lack of zone capacity, before it reached the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// When to come again.
+    /// Retry delay for the client.
     pub retry_after: Option<Micros>,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
 }
 
-/// A request or a standing connection as it stands in the books.
+/// Record of a request or an established connection.
 #[derive(Debug, Default)]
 struct RequestRecord {
     class: usize,
-    /// The team that its client named.
+    /// Team that the client named.
     team: Option<Arc<str>>,
     key: Option<Arc<str>>,
     group: Option<Arc<str>>,
-    /// Where it stands, and what it asks for there, where that was told.
+    /// Instance of the established connection.
     host: HostId,
+    /// Load of the connection, if it was reported.
     load: Option<f64>,
-    /// What it holds of its team's contract, where there are contracts.
+    /// Its part of the team's contract; `None` without contracts.
     ticket: Option<Ticket>,
     established: bool,
-    /// The capacity of a zone that it takes up, where there is a plan for zones.
+    /// Zone capacity that it uses; `None` without routing to zones.
     slot: Option<Slot>,
 }
 
-/// Who a client is by what it named.
+/// Returns the identity of a client, or `None` if it named no key.
 fn client_id(team: Option<Arc<str>>, key: &Option<Arc<str>>) -> Option<ClientId> {
     Some((team, key.clone()?))
 }
@@ -73,7 +74,7 @@
     }
 }
 
-/// The first moment at which this balancer may no longer rebalance.
+/// Time from which this balancer may no longer rebalance.
 struct RebalanceUntil(Micros);
 
 impl Default for RebalanceUntil {
@@ -92,28 +93,28 @@
 #[derive(Default)]
 pub struct Core {
     policy: PlacementPolicy,
-    /// Contracts between teams; none where the operator wrote none.
+    /// Contracts of the teams; `None` if the operator configured none.
     contracts: Option<Contracts>,
-    /// Slow rebalancing; none where the operator wants none.
+    /// Rebalancing of connections; `None` if the operator has not enabled it.
     rebalancer: Option<Rebalancer>,
-    /// Until when this balancer may rebalance: in a group, for as long as its lease lasts; for ever without one.
+    /// Until when this balancer may rebalance: in a group until the end of its lease, without a group always.
     rebalance_until: RebalanceUntil,
     fixed_settings: FixedSettings,
-    /// The platform's own tenants, by name; the teams come behind them, by their number.
+    /// Names of the tenants in the platform's settings. In `tenants`, the teams of the contracts follow them.
     tenant_names: Vec<String>,
     tenants: Vec<Tenant>,
     requests: BTreeMap<CallId, RequestRecord>,
     load_history: LoadHistory,
-    /// The fleet's plan for zones; none where the operator wants none.
+    /// Routing to zones by the fleet's plan; `None` if the operator has not enabled it.
     zone_router: Option<ZoneRouter>,
-    /// Connections that stand at the process before this one: their clients come here. Who named no key is under none.
+    /// Connections at the previous process whose clients are expected here. Clients that named no key are under `None`.
     inherited: BTreeMap<Option<ClientId>, Vec<CallId>>,
-    /// Instances that the list calls ready: size, and when each was started.
+    /// Size and start time of the instances that are listed as ready.
     ready_instances: BTreeMap<HostId, (f64, Micros)>,
 }
 
 impl Core {
-    /// One that knows no instance yet.
+    /// Creates the core of a balancer, without instances.
     pub fn new(settings: Settings, names: &Names, seed: u64) -> Result<Core, SettingsError> {
         let worths = settings.classes.iter().map(|c| c.worth);
         Ok(Core {
@@ -129,8 +130,9 @@
         })
     }
 
-    /// Asks the contracts, where there are any, and says in the demand client it is. One that was let in is then
-    /// told as [`Event::Demand`], or taken back with [`Core::withdraw`].
+    /// Checks the contracts and the zones' capacity, and sets the demand's tenant, zones, deadline and expected load.
+    /// An admitted request is then passed to [`Core::handle_event`] as [`Event::Demand`], or withdrawn with
+    /// [`Core::withdraw`].
     pub fn admit(&mut self, now: Micros, demand: &mut Demand, team: Option<&str>) -> Result<(), Refused> {
         let client = client_id(team.map(Into::into), &demand.key);
         if demand.returned || demand.repeat {
@@ -143,12 +145,15 @@
             let id = contracts.resolve_team(team, demand.class);
             demand.tenant = Some(self.tenant_names.len() + id);
             match contracts.request_admission(now, id, demand.class, &demand.call) {
-                Ok(taken) => ticket = Some(taken),
-                Err(no) => return Err(Refused { retry_after: no.retry_after, reason: no.reason }),
+                Ok(admitted) => ticket = Some(admitted),
+                Err(refusal) => {
+                    return Err(Refused { retry_after: refusal.retry_after, reason: refusal.reason })
+                }
             }
         }
-        if let Some(most) = demand.tenant.and_then(|t| self.tenants.get(t)).and_then(|t| t.deadline) {
-            demand.left = demand.left.min(most);
+        if let Some(team_deadline) = demand.tenant.and_then(|t| self.tenants.get(t)).and_then(|t| t.deadline)
+        {
+            demand.left = demand.left.min(team_deadline);
         }
         let record = RequestRecord { ticket, ..RequestRecord::from_demand(demand, team) };
         if let Some(zones) = &mut self.zone_router {
@@ -166,12 +171,12 @@
         Ok(())
     }
 
-    /// One that was let in is not begun after all.
+    /// Withdraws an admitted request that is not started.
     pub fn withdraw(&mut self, now: Micros, call: &CallId) {
         self.release(now, call, EndReason::NotEstablished);
     }
 
-    /// Takes in a connection that stands already.
+    /// Adopts a connection that is already established at an instance.
     pub fn adopt(
         &mut self,
         now: Micros,
@@ -180,10 +185,10 @@
         host: HostId,
     ) -> Vec<Action> {
         demand.tenant = team.and_then(|name| self.tenant_names.iter().position(|p| p == name));
-        let projects = self.tenant_names.len();
+        let platform_tenant_count = self.tenant_names.len();
         let ticket = self.contracts.as_mut().map(|contracts| {
             let id = contracts.resolve_team(team, demand.class);
-            demand.tenant = Some(projects + id);
+            demand.tenant = Some(platform_tenant_count + id);
             contracts.adopt(now, id, demand.class, &demand.call)
         });
         let slot = self.zone_router.as_mut().and_then(|zones| zones.adopt(host));
@@ -202,11 +207,11 @@
         actions
     }
 
-    /// What stands here, for the process after this one.
+    /// Returns the established connections, for the handover to the next process.
     pub fn established_connections(&self, now: Micros) -> Vec<HandedOverConnection> {
         let text = |text: &Option<Arc<str>>| text.as_deref().map(String::from);
-        let usual = |record: &RequestRecord| self.load_history.recent_load(now, &record.client_id()?);
-        let stand = |record: &RequestRecord| {
+        let recent_load = |record: &RequestRecord| self.load_history.recent_load(now, &record.client_id()?);
+        let handed_over = |record: &RequestRecord| {
             let class = self.fixed_settings.classes.get(record.class)?.0.to_string();
             let (team, key, group) = (text(&record.team), text(&record.key), text(&record.group));
             Some(HandedOverConnection {
@@ -215,39 +220,41 @@
                 key,
                 group,
                 instance: record.host,
-                load: usual(record).or(record.load),
+                load: recent_load(record).or(record.load),
             })
         };
-        self.requests.values().filter(|record| record.established).filter_map(stand).collect()
+        self.requests.values().filter(|record| record.established).filter_map(handed_over).collect()
     }
 
-    /// What stands at the process before this one: booked as if it stood here, until its client comes over or
-    /// [`Core::predecessor_ended`] says that the other process has ended.
-    pub fn inherit_connections(&mut self, now: Micros, stands: Vec<HandedOverConnection>) {
-        for (i, stand) in stands.into_iter().enumerate() {
-            let Some(class) = self.fixed_settings.classes.iter().position(|c| *c.0 == *stand.class) else {
+    /// Counts the connections that are established at the previous process as if they were established here, each until
+    /// its client connects here or [`Core::predecessor_ended`] is called.
+    pub fn inherit_connections(&mut self, now: Micros, connections: Vec<HandedOverConnection>) {
+        for (i, connection) in connections.into_iter().enumerate() {
+            let Some(class) = self.fixed_settings.classes.iter().position(|c| *c.0 == *connection.class)
+            else {
                 continue;
             };
-            // No client can choose such an id.
+            // Clients cannot choose an id of this form.
             let id = format!("older {i}");
-            let key: Option<Arc<str>> = stand.key.map(Into::into);
-            let (group, hint) = (stand.group.map(Into::into), stand.load.filter(|load| load.is_finite()));
-            let client = client_id(stand.team.as_deref().map(Into::into), &key);
+            let key: Option<Arc<str>> = connection.key.map(Into::into);
+            let (group, hint) =
+                (connection.group.map(Into::into), connection.load.filter(|load| load.is_finite()));
+            let client = client_id(connection.team.as_deref().map(Into::into), &key);
             client.iter().zip(hint).for_each(|(client, load)| self.load_history.record(now, client, load));
             let demand = Demand { key, group, hint, ..Demand::new(&id, class, Micros::MAX / 4) };
-            // It stands elsewhere: what moves it decides is decided there.
-            self.adopt(now, demand, stand.team.as_deref(), stand.instance);
+            // The connection is at the previous process, which decides on its moves: actions are discarded.
+            self.adopt(now, demand, connection.team.as_deref(), connection.instance);
             self.inherited.entry(client).or_default().push(id.as_str().into());
         }
     }
 
-    /// The process before this one has ended.
+    /// Releases the connections of the previous process, which has ended.
     pub fn predecessor_ended(&mut self, now: Micros) {
-        let left = std::mem::take(&mut self.inherited).into_values().flatten();
-        left.for_each(|call| self.handle_event(now, Event::Vanished { call }, &mut Vec::new()));
+        let remaining = std::mem::take(&mut self.inherited).into_values().flatten();
+        remaining.for_each(|call| self.handle_event(now, Event::Vanished { call }, &mut Vec::new()));
     }
 
-    /// A client that stood at the process before this one comes here.
+    /// Releases one connection of this client at the previous process, if there is one: the client connects here now.
     fn client_returned(&mut self, now: Micros, client: &Option<ClientId>) {
         if client.is_none() {
             return;
@@ -256,7 +263,8 @@
         self.handle_event(now, Event::Vanished { call }, &mut Vec::new());
     }
 
-    /// The one way to the module; contracts learn what bears on them.
+    /// Passes an event to the decision module, and what concerns them to the contracts, the zone router and the
+    /// rebalancer.
     pub fn handle_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if let Some(rebalance) = &mut self.rebalancer {
             observe_for_rebalancing(rebalance, now, &event);
@@ -315,12 +323,12 @@
             }
             _ => {}
         }
-        let first = actions.len();
+        let first_new = actions.len();
         self.policy.handle(now, event, actions);
-        let mut n = first;
+        let mut n = first_new;
         while n < actions.len() {
             if self.exceeds_capacity_lease(now, &actions[n]) {
-                // It was never sent: the module decides what else becomes of the request.
+                // The attempt is not sent: the decision module continues with the request.
                 let unsent = actions.remove(n);
                 self.cancel_unsent(now, unsent, actions);
             } else {
@@ -330,7 +338,7 @@
         }
     }
 
-    /// Whether an action would send more to a zone than this balancer's capacity lease allows.
+    /// Returns whether an action would exceed this balancer's capacity lease for a zone.
     fn exceeds_capacity_lease(&mut self, now: Micros, action: &Action) -> bool {
         match (action, &mut self.zone_router) {
             (Action::Send { host, .. }, Some(zones)) => !zones.may_send(now, *host),
@@ -338,6 +346,7 @@
         }
     }
 
+    /// Reports to the decision module that an attempt was not sent.
     fn cancel_unsent(&mut self, now: Micros, unsent: Action, actions: &mut Vec<Action>) {
         let Action::Send { call, host, .. } = unsent else { return };
         let (outcome, elapsed) = (Outcome::Moot, 0);
@@ -345,6 +354,7 @@
         self.policy.handle(now, event, actions);
     }
 
+    /// Updates the records for an action that is carried out.
     fn record_action(&mut self, now: Micros, action: &Action) {
         if let (Action::Refuse { call, .. } | Action::Fail { call }, Some(zones)) =
             (action, &mut self.zone_router)
@@ -362,7 +372,7 @@
         }
     }
 
-    /// An attempt takes up capacity of its server's zone from its send on.
+    /// Counts an attempt that is sent against the capacity of its server's zone.
     fn occupy_slot(&mut self, call: &CallId, host: HostId) {
         let Some((record, zones)) = self.requests.get_mut(call).zip(self.zone_router.as_mut()) else {
             return;
@@ -370,7 +380,7 @@
         record.slot = zones.send(call, host);
     }
 
-    /// An attempt is over: its capacity is free.
+    /// Frees the zone capacity of an attempt or connection that has ended.
     fn free_slot(&mut self, call: &CallId) {
         let Some((record, zones)) = self.requests.get_mut(call).zip(self.zone_router.as_mut()) else {
             return;
@@ -378,6 +388,7 @@
         record.slot.take().into_iter().for_each(|slot| zones.release(slot));
     }
 
+    /// Removes the record of a request that has ended, and releases its zone capacity and its part of the contract.
     fn release(&mut self, now: Micros, call: &CallId, end: EndReason) {
         self.free_slot(call);
         let ticket = self.requests.remove(call).and_then(|record| record.ticket);
@@ -386,6 +397,7 @@
         }
     }
 
+    /// Applies an update of the instance list to the zone router and the contracts.
     fn update_instances(&mut self, now: Micros, kind: ListKind, hosts: &[Entry]) {
         self.zone_router.iter_mut().for_each(|zones| zones.update_instances(kind, hosts));
         if matches!(kind, ListKind::Full | ListKind::Cached) {
@@ -405,26 +417,27 @@
         }
     }
 
-    /// An attempt that nobody answers, or one that is served, tells whether its instance is there.
+    /// Records for the contracts whether an instance has served an attempt: this shows whether its capacity is
+    /// available.
     fn record_attempt(&mut self, now: Micros, host: HostId, served: bool) {
         if let Some(contracts) = &mut self.contracts {
             contracts.record_attempt(now, host, served);
         }
     }
 
-    /// When [`Core::run_due`] is to be called next, if nothing happens before.
+    /// Returns when [`Core::run_due`] is to be called next if no event comes before.
     pub fn next_due(&mut self, now: Micros) -> Option<Micros> {
         let contracts = self.contracts.as_mut().and_then(|contracts| contracts.next_due(now));
         let rebalance = self.rebalancer.as_ref().filter(|_| self.rebalance_until.allows(now));
         contracts.into_iter().chain(rebalance.map(|r| r.next_due(now))).min()
     }
 
-    /// Does what is due without an event.
+    /// Runs work that is due without an event.
     pub fn run_due(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if let Some(contracts) = &mut self.contracts {
             actions.extend(contracts.run_due(now).into_iter().map(|call| Action::Move { call }));
         }
-        // One cause of moves at a time: what contracts want comes first.
+        // Moves have one cause at a time; those for contracts come first.
         if let Some(rebalance) = self.rebalancer.as_mut().filter(|_| self.rebalance_until.allows(now)) {
             if !actions.is_empty() {
                 rebalance.pause(now, "contracts move connections");
@@ -438,26 +451,27 @@
         }
     }
 
-    /// Rebalancing by these terms from now on, or none.
-    pub fn set_rebalance(&mut self, now: Micros, terms: Option<rebalance::RebalanceSettings>) {
-        if self.rebalancer.as_ref().map(Rebalancer::settings) == terms.as_ref() {
+    /// Enables rebalancing with these settings, or disables it. Unchanged settings keep its state.
+    pub fn set_rebalance(&mut self, now: Micros, settings: Option<rebalance::RebalanceSettings>) {
+        if self.rebalancer.as_ref().map(Rebalancer::settings) == settings.as_ref() {
             return;
         }
         let FixedSettings { classes, balancers, .. } = &self.fixed_settings;
-        self.rebalancer = terms.map(|terms| Rebalancer::new(now, terms, classes, *balancers));
+        self.rebalancer = settings.map(|settings| Rebalancer::new(now, settings, classes, *balancers));
         if let Some(rebalance) = &mut self.rebalancer {
-            // How long they have stood is not known: as if since now.
+            // The age of established connections is unknown: they count as new.
             let standing = self.requests.iter().filter(|(_, record)| record.established);
             standing.for_each(|(call, _)| rebalance.connection_established(now, call));
         }
     }
 
-    /// Zones by the fleet's plan from now on.
-    pub fn enable_zones(&mut self, terms: crate::failover::FailoverSettings, context: BalancerContext) {
-        self.zone_router = Some(ZoneRouter::new(terms, context));
+    /// Enables routing to zones by the fleet's plan.
+    pub fn enable_zones(&mut self, settings: crate::failover::FailoverSettings, context: BalancerContext) {
+        self.zone_router = Some(ZoneRouter::new(settings, context));
     }
 
-    /// The fleet's plan as the record has it; whom it moves now, and which plan is followed if that has changed.
+    /// Applies the plan of the replicated state. Returns the moves that are due now, and the serial of the followed
+    /// plan if it has changed.
     pub fn follow_plan(&mut self, now: Micros, plan: Option<&Plan>) -> (Vec<Action>, Option<Option<u64>>) {
         let Some(zones) = &mut self.zone_router else { return (Vec::new(), None) };
         let changed = zones.receive_plan(now, plan);
@@ -467,31 +481,33 @@
         (moves.into_iter().map(|call| Action::Move { call }).collect(), changed)
     }
 
-    /// What was seen of the zones here, and instances that are to be probed for it.
+    /// Returns the digest of this balancer's zone observations and the instances to probe now; `None` without routing
+    /// to zones.
     pub fn digest(&mut self, now: Micros) -> Option<(Digest, Vec<HostId>)> {
         let zones = self.zone_router.as_mut()?;
         let classes = self.requests.values().map(|record| record.class);
         Some((zones.digest(now, classes), zones.next_probes(now)))
     }
 
-    /// In a group: this balancer may rebalance before that time, and not from then on unless it is told again.
+    /// Sets the time until which this balancer may rebalance in a group; from then on it does not, unless a later call
+    /// extends it.
     pub fn may_rebalance_until(&mut self, until: Micros) {
         self.rebalance_until = RebalanceUntil(until);
     }
 
-    /// Moves are made for another cause: rebalancing rests.
+    /// Pauses rebalancing because connections move for another cause.
     pub fn pause_rebalance(&mut self, now: Micros, cause: &'static str) {
         if let Some(rebalance) = &mut self.rebalancer {
             rebalance.pause(now, cause);
         }
     }
 
-    /// What the rebalancer has to tell.
+    /// Returns the events of rebalancing since the last call.
     pub fn take_rebalance_events(&mut self) -> Vec<PlanEvent> {
         self.rebalancer.as_mut().map(Rebalancer::take_events).unwrap_or_default()
     }
 
-    /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
+    /// Replaces the contracts in force, or removes them, and returns the changes. The terms must be valid.
     pub fn set_contracts(&mut self, now: Micros, terms: Option<Terms>) -> Vec<TermsChange> {
         let changes = match (&mut self.contracts, terms) {
             (Some(contracts), Some(terms)) => contracts.apply_terms(now, terms),
@@ -502,7 +518,7 @@
                     self.ready_instances.iter().map(|(&host, &(size, at))| (host, size, at)),
                 );
                 let changes = contracts.apply_terms(now, terms);
-                // What is in hand counts from now on; where it was asked for is past.
+                // Existing requests count from now on; they are not admitted again.
                 for (call, record) in &mut self.requests {
                     let team = contracts.resolve_team(record.team.as_deref(), record.class);
                     let ticket = contracts.count_existing(now, team, record.class, call);
@@ -527,32 +543,32 @@
         self.tenants.extend(teams.map(|c| tenant_from_contract(c, self.fixed_settings.balancers)));
         let mut actions = Vec::new();
         self.policy.handle(now, Event::Tenants(self.tenants.clone()), &mut actions);
-        debug_assert!(actions.is_empty(), "other tenants decide nothing");
+        debug_assert!(actions.is_empty(), "a change of tenants causes no actions");
         changes
     }
 
-    /// The contracts, where there are any.
+    /// Returns the contracts, if there are any.
     pub fn contracts(&self) -> Option<&Contracts> {
         self.contracts.as_ref()
     }
 
-    /// Whether an attempt that was decided on may still be sent, as the module sees it.
+    /// Returns whether the decision module still allows an attempt that it has decided on.
     pub fn attempt_still_allowed(&self, now: Micros, call: &CallId, host: HostId) -> bool {
         self.policy.attempt_still_allowed(now, call, host)
     }
 
-    /// How many instances may be sent something new, as the module sees them.
+    /// Returns the number of instances that accept new connections, as seen by the decision module.
     pub fn accepting_instances(&self, now: Micros) -> usize {
         self.policy.hosts(now).iter().filter(|host| host.accepts_connections).count()
     }
 
-    /// Whether this id is in hand already.
+    /// Returns whether there is a request or connection with this id.
     pub fn has_request(&self, call: &str) -> bool {
         self.requests.contains_key(call)
     }
 }
 
-/// What of the events bears on rebalancing: who stands, and trouble, which makes it rest.
+/// Passes events to the rebalancer: connections that are established or ended, and faults, which pause it.
 fn observe_for_rebalancing(rebalance: &mut Rebalancer, now: Micros, event: &Event) {
     match event {
         Event::Opened { call, .. } | Event::Adopted(Demand { call, .. }, _) => {
@@ -566,27 +582,28 @@
             match outcome {
                 Outcome::ConnectFailed | Outcome::Reset => rebalance.pause(now, "an instance failed"),
                 Outcome::Timeout => rebalance.pause(now, "an instance did not answer"),
-                Outcome::Full => rebalance.pause(now, "an instance turned a connection away"),
+                Outcome::Full => rebalance.pause(now, "an instance rejected a connection"),
                 Outcome::Ok | Outcome::Error | Outcome::Cancelled | Outcome::Moot => {}
             }
         }
         Event::Members { kind: ListKind::Failed, .. } => rebalance.pause(now, "discovery does not answer"),
         Event::Members { hosts, .. } if hosts.iter().any(|e| e.state != HostState::Ready) => {
-            rebalance.pause(now, "an instance drains or is gone");
+            rebalance.pause(now, "an instance is draining or gone");
         }
         _ => {}
     }
 }
 
-/// A contract as the module has it: what bears on retries.
+/// Returns the limits of a contract that apply to retries, as a tenant of the decision module. Each balancer gets an
+/// equal part of the retry budget.
 fn tenant_from_contract(contract: &Contract, balancers: u32) -> Tenant {
-    let part = 1.0 / f64::from(balancers.max(1));
+    let budget_share = 1.0 / f64::from(balancers.max(1));
     Tenant {
         fraction: 1.0,
         quota: None,
         deadline: contract.deadline,
         sends: contract.attempts,
-        budget: contract.retry.map(|r| RetryBudget { free: r.free * part, ..r }),
+        budget: contract.retry.map(|r| RetryBudget { free: r.free * budget_share, ..r }),
     }
 }
 
--- a/src/broker/deadlines.rs
+++ b/src/broker/deadlines.rs
@@ -11,8 +11,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The clock of the decision module: Unix time at the start of the process, advanced by a monotonic clock. It can be compared with
-/// the start times in the instance list, which are Unix times.
+/// The clock of the decision module: Unix time at the start of the process, advanced by a monotonic clock. It can be
+/// compared with the start times in the instance list, which are Unix times.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Micros,
--- a/src/broker/drain.rs
+++ b/src/broker/drain.rs
@@ -1,8 +1,8 @@
 //! The serving state of this balancer: starting, serving, draining on an operator's command, or shutting down.
 //!
-//! Guaranteed: while the balancer drains or shuts down, every established connection is selected for a move by the end of the drain
-//! or shutdown, spread evenly over that time. Connections that are established after the end are selected at once. Not guaranteed:
-//! that a client that is asked to move disconnects.
+//! Guaranteed: while the balancer drains or shuts down, every established connection is selected for a move by the end
+//! of the drain or shutdown, spread evenly over that time. Connections that are established after the end are selected
+//! at once. Not guaranteed: that a client that is asked to move disconnects.
 //!
 //! | state | LEAVE | JOIN | SIGTERM |
 //! | --- | --- | --- | --- |
@@ -12,8 +12,8 @@
 
 use crate::api::Micros;
 
-/// Time from the start of a drain to its first move: by then the client-facing load balancer has received the negative health check
-/// and sends no moved client back.
+/// Time from the start of a drain to its first move: by then the client-facing load balancer has received the negative
+/// health check and sends no moved client back.
 const DRAIN_MOVE_DELAY: Micros = 400_000;
 /// Time from the start of a drain to its last move. The platform counts connections that remain after 4 s as lost.
 const DRAIN_DURATION: Micros = 3_000_000;
@@ -73,9 +73,9 @@
         self.state != State::Serving
     }
 
-    /// Returns whether health checks of the client-facing load balancer get a positive answer. They do during a shutdown that did not
-    /// start in a drain: the platform knows of the shutdown already, and where a successor shares the socket, a negative answer would
-    /// be taken for the successor's.
+    /// Returns whether health checks of the client-facing load balancer get a positive answer. They do during a
+    /// shutdown that did not start in a drain: the platform knows of the shutdown already, and where a successor shares
+    /// the socket, a negative answer would be taken for the successor's.
     pub fn passes_health_checks(&self) -> bool {
         !matches!(self.state, State::Draining | State::ShuttingDown { was_draining: true })
     }
@@ -165,8 +165,8 @@
     }
 
     proptest! {
-        /// Guards against a connection that is kept past the end of a drain or shutdown, one that is moved while the balancer
-        /// serves, and a return to serving after SIGTERM.
+        /// Guards against a connection that is kept past the end of a drain or shutdown, one that is moved while the
+        /// balancer serves, and a return to serving after SIGTERM.
         #[test]
         fn connections_are_moved_by_the_end_and_never_while_serving(steps in steps()) {
             let (mut drain, mut now, mut established) = (Drain::default(), 1_000_000_000, 100usize);
--- a/src/broker/front.rs
+++ b/src/broker/front.rs
@@ -1,5 +1,5 @@
-//! The interface between the broker and a protocol front end: the side of service clients, the side of instances, and the outcomes that
-//! they report.
+//! The interface between the broker and a protocol front end: the side of service clients, the side of instances, and
+//! the outcomes that they report.
 
 use super::metrics::CommandMetrics;
 use super::{Broker, Command};
@@ -54,8 +54,9 @@
 }
 
 impl Execution {
-    /// Returns whether the attempt may still be sent. To be called right before the first byte is sent, since the instance may have
-    /// started to drain while the connection was made, or the time window for a repeated attempt may have ended.
+    /// Returns whether the attempt may still be sent. To be called right before the first byte is sent, since the
+    /// instance may have started to drain while the connection was made, or the time window for a repeated attempt may
+    /// have ended.
     pub fn may_send(&self) -> bool {
         let state = self.broker.state.borrow();
         let allowed = state.core.attempt_still_allowed(self.broker.now(), &self.call, self.instance);
--- a/src/broker/handover.rs
+++ b/src/broker/handover.rs
@@ -1,8 +1,8 @@
-//! The handover from a process that ends to its successor: the established connections, which the successor counts until their
-//! clients reconnect.
+//! The handover from a process that ends to its successor: the established connections, which the successor counts
+//! until their clients reconnect.
 //!
-//! Guaranteed: a handover that is read is complete, of this format version, of this balancer, and was written just before; otherwise
-//! a [`HandoverError`] gives the reason. Not guaranteed: that there is a handover to read.
+//! Guaranteed: a handover that is read is complete, of this format version, of this balancer, and was written just
+//! before; otherwise a [`HandoverError`] gives the reason. Not guaranteed: that there is a handover to read.
 
 use crate::api::{HostId, Micros};
 use serde::{Deserialize, Serialize};
@@ -12,8 +12,8 @@
 const MAGIC: &str = "oakdeal-handover-1";
 /// Largest file that is read; enough for about ten thousand connections.
 pub const MAX_BYTES: usize = 4 << 20;
-/// Largest age of a handover. An older file is left over from an earlier upgrade: the platform ends the old process within seconds
-/// of the first positive health check of the new one.
+/// Largest age of a handover. An older file is left over from an earlier upgrade: the platform ends the old process
+/// within seconds of the first positive health check of the new one.
 const MAX_AGE: Micros = 10_000_000;
 
 /// An established connection of the previous process.
--- a/src/broker/instances.rs
+++ b/src/broker/instances.rs
@@ -49,7 +49,8 @@
     pub address: SocketAddr,
     /// State in the latest update.
     pub state: HostState,
-    /// Time at which unanswered messages were last reported to the decision module; `None` once a message has come back.
+    /// Time at which unanswered messages were last reported to the decision module; `None` once a message has come
+    /// back.
     pub slow_reported_at: Option<Micros>,
     /// Time at which the instance last returned a message on any connection.
     pub last_message_at: Micros,
@@ -57,10 +58,10 @@
     pub load_line_classifier: LoadLineClassifier,
 }
 
-/// Distinguishes the two meanings of `LOAD X`: the load of the connection, in microseconds of work per second, and the delay of a
-/// message at the instance, in milliseconds. The line itself does not say which. But a delay comes a whole number of seconds after
-/// the previous delay, on whatever connection, for as long as the instance runs (within 2 ms over whole days), and only while
-/// messages are slow.
+/// Distinguishes the two meanings of `LOAD X`: the load of the connection, in microseconds of work per second, and the
+/// delay of a message at the instance, in milliseconds. The line itself does not say which. But a delay comes a whole
+/// number of seconds after the previous delay, on whatever connection, for as long as the instance runs (within 2 ms
+/// over whole days), and only while messages are slow.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct LoadLineClassifier {
     /// Time and value of the last delay, or of the last value in phase with the delays.
@@ -71,11 +72,16 @@
 
 /// Largest distance from a whole second of a value in phase: this process may handle it late.
 const PHASE_TOLERANCE: Micros = 60_000;
-/// Load, in microseconds of work per second, below which a connection is nearly idle. A lower value is most likely a delay.
+/// Load, in microseconds of work per second, below which a connection is nearly idle. A lower value is most likely a
+/// delay.
 const MAX_NEARLY_IDLE_LOAD: f64 = 2_000.0;
-/// Limit in milliseconds below which the first low value of an instance is taken as a delay before a second one in phase: overload at
-/// the start must be detected without waiting, and hardly any load is so low.
+/// Limit in milliseconds below which the first low value of an instance is taken as a delay before a second one in
+/// phase: overload at the start must be detected without waiting, and hardly any load is so low.
 const MAX_FIRST_DELAY_MS: f64 = 500.0;
+/// Growth of the delay per second, in milliseconds, at an instance that has stopped working.
+const STOPPED_GROWTH_MS: f64 = 1000.0;
+/// Tolerance of this growth, in milliseconds.
+const STOPPED_GROWTH_TOLERANCE_MS: f64 = 100.0;
 /// Longest delay, in milliseconds, that a working instance reports: it drops messages that have to wait longer.
 const MAX_QUEUED_DELAY_MS: f64 = 5_000.0;
 
@@ -98,7 +104,8 @@
             }
         };
         // The delay at an instance that has stopped working grows by one second each second.
-        let grows_with_time = previous.is_some_and(|(_, last)| (value - last - 1000.0).abs() < 100.0);
+        let grows_with_time = previous
+            .is_some_and(|(_, last)| (value - last - STOPPED_GROWTH_MS).abs() < STOPPED_GROWTH_TOLERANCE_MS);
         if value < MAX_QUEUED_DELAY_MS || grows_with_time {
             (self.last_delay, self.candidate) = (Some((now, value)), None);
             return Some((value * 1000.0) as Micros);
@@ -117,8 +124,8 @@
     pub list_version: u64,
 }
 
-/// Returns the id of an instance, derived from its name alone: every balancer must derive the same one, since the ring is built from
-/// it. The platform's names end in an id of eight hexadecimal digits; other names are hashed.
+/// Returns the id of an instance, derived from its name alone: every balancer must derive the same one, since the ring
+/// is built from it. The platform's names end in an id of eight hexadecimal digits; other names are hashed.
 pub fn instance_id(name: &str) -> HostId {
     let tail = name.rsplit('-').next().unwrap_or_default();
     match HostId::from_str_radix(tail, 16) {
@@ -128,8 +135,8 @@
 }
 
 impl Instances {
-    /// Applies an update and returns its entries for the decision module. An invalid entry is logged and skipped; the others are
-    /// applied.
+    /// Applies an update and returns its entries for the decision module. An invalid entry is logged and skipped; the
+    /// others are applied.
     pub fn apply_update(&mut self, kind: ListKind, listing: Listing, names: &Names) -> Vec<Entry> {
         self.list_version = listing.index;
         let mut entries = Vec::new();
@@ -246,7 +253,8 @@
         assert_eq!(delay_ms(21_101, 72.3), Some(72));
         assert_eq!(delay_ms(22_100, 80.0), Some(80));
         assert_eq!(LoadLineClassifier::default().message_delay(0, 345.9), Some(345_900));
-        // One connection in twenty-five has such a low load; taken for a delay, it moved a client away from a healthy instance.
+        // One connection in twenty-five has such a low load; taken for a delay, it moved a client away from a healthy
+        // instance.
         assert_eq!(LoadLineClassifier::default().message_delay(0, 3_297.4), None);
     }
 }
--- a/src/broker/metrics.rs
+++ b/src/broker/metrics.rs
@@ -1,7 +1,8 @@
 //! Counters and gauges for operators, from the start of the process.
 //!
-//! Guaranteed: a command counts as pending from its arrival until it is refused, fails or its established connection ends, and is
-//! counted under exactly one result. Not counted: connections whose first line cannot be read, since they name no class.
+//! Guaranteed: a command counts as pending from its arrival until it is refused, fails or its established connection
+//! ends, and is counted under exactly one result. Not counted: connections whose first line cannot be read, since they
+//! name no class.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -132,7 +133,8 @@
 mod tests {
     use super::*;
 
-    /// Guards against a command that is counted twice or not at all, and a metric that is missing until its first count.
+    /// Guards against a command that is counted twice or not at all, and a metric that is missing until its first
+    /// count.
     #[test]
     fn each_command_has_one_result_and_every_class_is_listed_from_the_start() {
         let metrics = Metrics::new(2);
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,8 +1,8 @@
-//! The broker: passes events to the decision module and carries out its actions. It does no socket I/O; the protocol front ends use
-//! [`run_command`], [`Client`], [`Dialer`] and [`Command`].
+//! The broker: passes events to the decision module and carries out its actions. It does no socket I/O; the protocol
+//! front ends use [`run_command`], [`Client`], [`Dialer`] and [`Command`].
 //!
-//! Terms: a *command* is a request for a connection, an *execution* is one attempt at it, an *instance* is a session server, a
-//! *nack* is a refusal, and a *service client* is the process that sent the request.
+//! Terms: a *command* is a request for a connection, an *execution* is one attempt at it, an *instance* is a session
+//! server, a *nack* is a refusal, and a *service client* is the process that sent the request.
 
 mod command;
 pub mod core;
@@ -42,6 +42,10 @@
 const DESCRIPTORS_PER_CONNECTION: usize = 2;
 /// Time before the service client's deadline at which an answer is sent, so that it arrives in time.
 const ANSWER_MARGIN: Micros = 15_000;
+/// Time by which a command's own deadline is later than that of the decision module.
+const DEADLINE_GRACE: Micros = 1_000;
+/// Shortest deadline of a service client whose class has none.
+const MIN_DEFAULT_DEADLINE: Micros = 1_000_000;
 /// A request to the network code other than an execution.
 #[derive(Debug)]
 pub enum NetworkRequest {
@@ -62,7 +66,8 @@
     Move,
 }
 
-/// A command was refused before its first execution, by its contract or for lack of file descriptors. Holds the retry delay.
+/// A command was refused before its first execution, by its contract or for lack of file descriptors. Holds the retry
+/// delay.
 struct Refused(Option<Micros>);
 
 #[derive(Default)]
@@ -116,8 +121,8 @@
 }
 
 impl Broker {
-    /// Creates a broker without instances, and the receiver of its requests to the network code. `descriptors` is the number of file
-    /// descriptors that connections may use.
+    /// Creates a broker without instances, and the receiver of its requests to the network code. `descriptors` is the
+    /// number of file descriptors that connections may use.
     pub fn new(
         settings: Settings,
         names: Names,
@@ -185,7 +190,7 @@
             .get(class)
             .copied()
             .filter(|&d| d > 0)
-            .unwrap_or(self.max_deadline.max(1_000_000))
+            .unwrap_or(self.max_deadline.max(MIN_DEFAULT_DEADLINE))
     }
 
     /// Returns the longest deadline of any class.
@@ -225,8 +230,8 @@
         let hosts = self.state.borrow_mut().instances.apply_update(kind, listing, &self.names);
         self.handle_event(Event::Members { kind, hosts });
         if kind == ListKind::Cached && self.list_is_pushed {
-            // The decision module requests a watch only where it must ask for changes. With pushed changes it need not, but this
-            // process still receives updates only through a watch.
+            // The decision module requests a watch only where it must ask for changes. With pushed changes it need not,
+            // but this process still receives updates only through a watch.
             let _ = self.network_requests.send(NetworkRequest::Watch(self.list_version()));
         }
     }
@@ -338,7 +343,8 @@
     /// Accepts a command, or refuses it by its contract or for lack of file descriptors.
     fn accept(self: &Rc<Self>, mut demand: Demand, team: Option<&str>) -> Result<Command, Refused> {
         demand.left = demand.left.saturating_sub(ANSWER_MARGIN);
-        // Contracts are checked first: a flood of commands that they refuse must not use up the descriptors that other teams need.
+        // Contracts are checked first: a flood of commands that they refuse must not use up the descriptors that other
+        // teams need.
         let admitted = {
             let state = &mut *self.state.borrow_mut();
             let admitted = state.core.admit(self.now(), &mut demand, team);
@@ -349,15 +355,16 @@
             tracing::debug!(team, reason = refused.reason.name(), "refused by contract");
             return Err(Refused(refused.retry_after));
         }
-        // Descriptors are reserved before placement: a command that could not open its link would count as a failure of the instance.
+        // Descriptors are reserved before placement: a command that could not open its link would count as a failure of
+        // the instance.
         let Some(descriptors) = self.reserve_descriptors(DESCRIPTORS_PER_CONNECTION) else {
             tracing::warn!("no file descriptors are free: a command was refused");
             self.state.borrow_mut().core.withdraw(self.now(), &demand.call);
             return Err(Refused(None));
         };
-        // Slightly later than the decision module's own deadline, which starts when it receives the event: otherwise a timeout here
-        // comes first, and the module starts one more attempt with no time left.
-        let mut command = self.register(&demand.call, demand.left.saturating_add(1_000));
+        // Slightly later than the decision module's own deadline, which starts when it receives the event: otherwise a
+        // timeout here comes first, and the module starts one more attempt with no time left.
+        let mut command = self.register(&demand.call, demand.left.saturating_add(DEADLINE_GRACE));
         command.descriptors = Some(descriptors);
         self.handle_event(Event::Demand(demand));
         Ok(command)
@@ -411,19 +418,19 @@
     }
 
     /// Enables rebalancing with these settings, or disables it.
-    pub fn set_rebalance(&self, terms: Option<crate::rebalance::RebalanceSettings>) {
+    pub fn set_rebalance(&self, settings: Option<crate::rebalance::RebalanceSettings>) {
         let state = &mut *self.state.borrow_mut();
-        state.core.set_rebalance(self.now(), terms);
+        state.core.set_rebalance(self.now(), settings);
         self.schedule_due(state);
     }
 
     /// Enables routing to zones by the fleet's plan.
-    pub fn enable_zones(&self, terms: crate::failover::FailoverSettings, context: zones::BalancerContext) {
-        self.state.borrow_mut().core.enable_zones(terms, context);
+    pub fn enable_zones(&self, settings: crate::failover::FailoverSettings, context: zones::BalancerContext) {
+        self.state.borrow_mut().core.enable_zones(settings, context);
     }
 
-    /// Applies the plan of the replicated state. Connections that it places in another zone are asked to move, at the rate allowed for
-    /// the fleet.
+    /// Applies the plan of the replicated state. Connections that it places in another zone are asked to move, at the
+    /// rate allowed for the fleet.
     pub fn follow_plan(&self, plan: Option<&Plan>) {
         let state = &mut *self.state.borrow_mut();
         let (moves, changed) = state.core.follow_plan(self.now(), plan);
@@ -435,7 +442,8 @@
         self.apply_actions(state, moves);
     }
 
-    /// Returns the digest of this balancer's zone observations and starts the zone probes that are due; `None` without failover.
+    /// Returns the digest of this balancer's zone observations and starts the zone probes that are due; `None` without
+    /// failover.
     pub fn digest(&self) -> Option<Digest> {
         let state = &mut *self.state.borrow_mut();
         let (digest, probes) = state.core.digest(self.now())?;
@@ -443,8 +451,8 @@
         Some(digest)
     }
 
-    /// In a group: sets the time, by [`Broker::now`], until which this balancer may rebalance. From then on it moves no connection, even
-    /// if the notification that the lease has ended arrives late.
+    /// In a group: sets the time, by [`Broker::now`], until which this balancer may rebalance. From then on it moves no
+    /// connection, even if the notification that the lease has ended arrives late.
     pub fn may_rebalance_until(&self, until: Micros) {
         let state = &mut *self.state.borrow_mut();
         state.core.may_rebalance_until(until);
@@ -456,7 +464,8 @@
         self.state.borrow().core.contracts().map(show)
     }
 
-    /// Counts a command of a class as pending until the returned value is dropped. A command without a result by then counts as failed.
+    /// Counts a command of a class as pending until the returned value is dropped. A command without a result by then
+    /// counts as failed.
     pub fn count_command(&self, class: usize) -> Rc<CommandMetrics> {
         Rc::new(self.metrics.begin_command(class))
     }
@@ -500,9 +509,9 @@
     }
 
     /// Counts the connections that are established at the previous process.
-    pub fn inherit_connections(&self, stands: Vec<HandedOverConnection>) {
+    pub fn inherit_connections(&self, connections: Vec<HandedOverConnection>) {
         let state = &mut *self.state.borrow_mut();
-        state.core.inherit_connections(self.now(), stands);
+        state.core.inherit_connections(self.now(), connections);
         self.schedule_due(state);
     }
 
@@ -527,8 +536,8 @@
         self.drain_started.notify_one();
     }
 
-    /// Asks service clients to reconnect while this balancer drains or shuts down; does not return. Rebalancing is paused meanwhile,
-    /// so that moves have one cause at a time.
+    /// Asks service clients to reconnect while this balancer drains or shuts down; does not return. Rebalancing is
+    /// paused meanwhile, so that moves have one cause at a time.
     pub async fn run_drain(&self) -> ! {
         loop {
             if !self.drain.borrow().is_moving_connections() {
--- a/src/broker/occupancy.rs
+++ b/src/broker/occupancy.rs
@@ -1,7 +1,8 @@
-//! Number of this balancer's connections in each zone: established ones, and attempts that were sent and have not ended.
+//! Number of this balancer's connections in each zone: established ones, and attempts that were sent and have not
+//! ended.
 //!
-//! Invariant: an attempt or connection is counted in exactly one zone from its send to its end, even if its server leaves the list
-//! meanwhile.
+//! Invariant: an attempt or connection is counted in exactly one zone from its send to its end, even if its server
+//! leaves the list meanwhile.
 
 /// Number of this balancer's attempts and connections in one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/broker/operations.rs
+++ b/src/broker/operations.rs
@@ -24,7 +24,8 @@
         self.0.metrics.lines(self.0.names.classes(), self.0.member_counts())
     }
 
-    /// Starts a drain: health checks get a negative answer, and clients of established connections are asked to reconnect.
+    /// Starts a drain: health checks get a negative answer, and clients of established connections are asked to
+    /// reconnect.
     pub fn leave(&self) {
         if self.0.drain.borrow_mut().start_drain(self.0.now()) {
             tracing::info!(
