--- a/src/broker/drain.rs
+++ b/src/broker/drain.rs
@@ -129,11 +129,11 @@
         if now >= schedule.end {
             return established;
         }
-        let part = now.saturating_sub(schedule.counted_until) as f64
+        let elapsed_share = now.saturating_sub(schedule.counted_until) as f64
             / schedule.end.saturating_sub(schedule.counted_until).max(1) as f64;
         schedule.counted_until = now.max(schedule.counted_until);
         schedule.fraction =
-            if established == 0 { 0.0 } else { schedule.fraction + part * established as f64 };
+            if established == 0 { 0.0 } else { schedule.fraction + elapsed_share * established as f64 };
         let moves = (schedule.fraction as usize).min(established);
         schedule.fraction -= moves as f64;
         moves
--- a/src/broker/instances.rs
+++ b/src/broker/instances.rs
@@ -70,6 +70,8 @@
     candidate: Option<Micros>,
 }
 
+/// Number of microseconds in a second.
+const MICROS_PER_SECOND: Micros = 1_000_000;
 /// Largest distance from a whole second of a value in phase: this process may handle it late.
 const PHASE_TOLERANCE: Micros = 60_000;
 /// Load, in microseconds of work per second, below which a connection is nearly idle. A lower value is most likely a
@@ -89,8 +91,8 @@
     /// Returns the message delay if the value is classified as one.
     pub fn message_delay(&mut self, now: Micros, value: f64) -> Option<Micros> {
         let in_phase = |at: Micros| {
-            let (span, off) = (now.saturating_sub(at), now.saturating_sub(at) % 1_000_000);
-            span > PHASE_TOLERANCE && off.min(1_000_000 - off) <= PHASE_TOLERANCE
+            let (span, offset) = (now.saturating_sub(at), now.saturating_sub(at) % MICROS_PER_SECOND);
+            span > PHASE_TOLERANCE && offset.min(MICROS_PER_SECOND - offset) <= PHASE_TOLERANCE
         };
         let previous = match (self.last_delay, self.candidate) {
             (Some((at, _)), _) if in_phase(at) => self.last_delay,
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -46,6 +46,7 @@
 const DEADLINE_GRACE: Micros = 1_000;
 /// Shortest deadline of a service client whose class has none.
 const MIN_DEFAULT_DEADLINE: Micros = 1_000_000;
+
 /// A request to the network code other than an execution.
 #[derive(Debug)]
 pub enum NetworkRequest {
