--- a/src/broker/drain.rs
+++ b/src/broker/drain.rs
@@ -1,96 +1,99 @@
-//! Whether this balancer wants clients: starting, serving, draining at an operator's word, or leaving for good.
+//! The serving state of this balancer: starting, serving, draining on an operator's command, or shutting down.
 //!
-//! Promised: while it drains or leaves, every connection that stands is named for a move by its end, evenly over the
-//! time until then, and whoever is set up later goes at once. Not promised: that those who were asked leave.
+//! Guaranteed: while the balancer drains or shuts down, every established connection is selected for a move by the end
+//! of the drain or shutdown, spread evenly over that time. Connections that are established after the end are selected
+//! at once. Not guaranteed: that a client that is asked to move disconnects.
 //!
 //! | state | LEAVE | JOIN | SIGTERM |
 //! | --- | --- | --- | --- |
-//! | serving | drains | stays | leaves |
-//! | draining | stays, at the pace it had | serves; who was asked goes, the others stay | leaves, no later than it would have drained |
-//! | leaving | stays | refused | stays |
+//! | serving | draining | no change | shutting down |
+//! | draining | no change, same schedule | serving; connections already asked to move still do, the others stay | shutting down; moves end no later than those of the drain |
+//! | shutting down | no change | refused | no change |
 
 use crate::api::Micros;
 
-/// Moves of a drain begin so long after the word: by then the front has heard the no and sends nobody back.
-const HEARD: Micros = 400_000;
-/// And have ended by then. The platform counts who is held after 4 s as lost.
-const DRAINED: Micros = 3_000_000;
+/// Time from the start of a drain to its first move: by then the client-facing load balancer has received the negative
+/// health check and sends no moved client back.
+const DRAIN_MOVE_DELAY: Micros = 400_000;
+/// Time from the start of a drain to its last move. The platform counts connections that remain after 4 s as lost.
+const DRAIN_DURATION: Micros = 3_000_000;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     #[default]
     Serving,
     Draining,
-    /// For good; it may have been draining before.
-    Leaving {
-        drained: bool,
+    /// Until the process ends; `was_draining` if it was draining before.
+    ShuttingDown {
+        was_draining: bool,
     },
 }
 
-/// The time in which connections are asked to move.
+/// The time in which connections are asked to move, and the progress.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct MoveSchedule {
     from: Micros,
     end: Micros,
-    /// Up to when moves were named, and the part of one that is left over.
-    named: Micros,
-    rest: f64,
+    /// Time up to which moves were counted, and the fraction of a move that is left over.
+    counted_until: Micros,
+    fraction: f64,
 }
 
-/// The program is to end: it comes back no more.
+/// Error: the process is shutting down and does not return to serving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Leaving;
+pub struct ShuttingDown;
 
-/// The machine.
+/// State machine of serving, draining and shutting down.
 #[derive(Debug, Default)]
 pub struct Drain {
-    /// It takes clients: from then on it can serve.
-    begun: bool,
+    /// Whether the process accepts clients yet.
+    started: bool,
     state: State,
-    pace: Pace,
+    schedule: MoveSchedule,
 }
 
 impl Drain {
-    /// Clients are taken from now on.
-    pub fn begin(&mut self) {
-        self.begun = true;
+    /// Records that the process accepts clients from now on.
+    pub fn start_serving(&mut self) {
+        self.started = true;
     }
 
-    /// Whether this process is there to serve.
-    pub fn serves(&self) -> bool {
-        self.begun && self.state == State::Serving
+    /// Returns whether this process is ready to serve.
+    pub fn is_serving(&self) -> bool {
+        self.started && self.state == State::Serving
     }
 
-    /// Whether the program is to end.
-    pub fn leaves(&self) -> bool {
-        matches!(self.state, State::Leaving { .. })
+    /// Returns whether the process is shutting down.
+    pub fn is_shutting_down(&self) -> bool {
+        matches!(self.state, State::ShuttingDown { .. })
     }
 
-    /// Whether there may be moves to make.
-    pub fn empties(&self) -> bool {
+    /// Returns whether connections may have to be moved.
+    pub fn is_moving_connections(&self) -> bool {
         self.state != State::Serving
     }
 
-    /// Whether the front is told to send clients. While the program leaves it is: the platform knows that already,
-    /// and where a successor shares the socket the no would be taken for its.
-    pub fn invites(&self) -> bool {
-        !matches!(self.state, State::Draining | State::Leaving { drained: true })
+    /// Returns whether health checks of the client-facing load balancer get a positive answer. They do during a
+    /// shutdown that did not start in a drain: the platform knows of the shutdown already, and where a successor shares
+    /// the socket, a negative answer would be taken for the successor's.
+    pub fn passes_health_checks(&self) -> bool {
+        !matches!(self.state, State::Draining | State::ShuttingDown { was_draining: true })
     }
 
-    /// LEAVE; whether that changed anything.
-    pub fn drain(&mut self, now: Micros) -> bool {
+    /// Handles LEAVE. Returns whether a drain has started.
+    pub fn start_drain(&mut self, now: Micros) -> bool {
         let begins = self.state == State::Serving;
         if begins {
             self.state = State::Draining;
-            self.start(now.saturating_add(HEARD), now.saturating_add(DRAINED));
+            self.schedule_moves(now.saturating_add(DRAIN_MOVE_DELAY), now.saturating_add(DRAIN_DURATION));
         }
         begins
     }
 
-    /// JOIN; whether that changed anything.
-    pub fn join(&mut self) -> Result<bool, Leaving> {
+    /// Handles JOIN. Returns whether the state has changed.
+    pub fn join(&mut self) -> Result<bool, ShuttingDown> {
         match self.state {
-            State::Leaving { .. } => Err(Leaving),
+            State::ShuttingDown { .. } => Err(ShuttingDown),
             state => {
                 self.state = State::Serving;
                 Ok(state != State::Serving)
@@ -98,39 +101,41 @@
         }
     }
 
-    /// SIGTERM: connections are asked between these times.
-    pub fn leave(&mut self, from: Micros, end: Micros) {
+    /// Handles SIGTERM: connections are asked to move between these times.
+    pub fn shut_down(&mut self, from: Micros, end: Micros) {
         match self.state {
             State::Serving => {
-                self.state = State::Leaving { drained: false };
-                self.start(from, end);
+                self.state = State::ShuttingDown { was_draining: false };
+                self.schedule_moves(from, end);
             }
             State::Draining => {
-                self.state = State::Leaving { drained: true };
-                self.pace.end = self.pace.end.min(end);
+                self.state = State::ShuttingDown { was_draining: true };
+                self.schedule.end = self.schedule.end.min(end);
             }
-            State::Leaving { .. } => {}
+            State::ShuttingDown { .. } => {}
         }
     }
 
-    fn start(&mut self, from: Micros, end: Micros) {
-        self.pace = Pace { from, end, named: from, rest: 0.0 };
+    fn schedule_moves(&mut self, from: Micros, end: Micros) {
+        self.schedule = MoveSchedule { from, end, counted_until: from, fraction: 0.0 };
     }
 
-    /// How many of those that stand are to be asked to move now.
-    pub fn moves(&mut self, now: Micros, standing: usize) -> usize {
-        if !self.empties() || now < self.pace.from {
+    /// Returns the number of established connections to ask to move now.
+    pub fn due_moves(&mut self, now: Micros, established: usize) -> usize {
+        if !self.is_moving_connections() || now < self.schedule.from {
             return 0;
         }
-        let pace = &mut self.pace;
-        if now >= pace.end {
-            return standing;
+        let schedule = &mut self.schedule;
+        if now >= schedule.end {
+            return established;
         }
-        let part = now.saturating_sub(pace.named) as f64 / pace.end.saturating_sub(pace.named).max(1) as f64;
-        pace.named = now.max(pace.named);
-        pace.rest = if standing == 0 { 0.0 } else { pace.rest + part * standing as f64 };
-        let moves = (pace.rest as usize).min(standing);
-        pace.rest -= moves as f64;
+        let elapsed_share = now.saturating_sub(schedule.counted_until) as f64
+            / schedule.end.saturating_sub(schedule.counted_until).max(1) as f64;
+        schedule.counted_until = now.max(schedule.counted_until);
+        schedule.fraction =
+            if established == 0 { 0.0 } else { schedule.fraction + elapsed_share * established as f64 };
+        let moves = (schedule.fraction as usize).min(established);
+        schedule.fraction -= moves as f64;
         moves
     }
 }
@@ -141,81 +146,81 @@
     use proptest::prelude::*;
 
     #[derive(Clone, Copy, Debug)]
-    enum Word {
+    enum Step {
         Leave,
         Join,
         Term,
-        /// So many clients are set up.
+        /// This number of clients is established.
         Come(usize),
     }
 
-    fn words() -> impl Strategy<Value = Vec<(Micros, Word)>> {
-        let word = prop_oneof![
-            Just(Word::Leave),
-            Just(Word::Join),
-            Just(Word::Term),
-            (0usize..300).prop_map(Word::Come),
+    fn steps() -> impl Strategy<Value = Vec<(Micros, Step)>> {
+        let step = prop_oneof![
+            Just(Step::Leave),
+            Just(Step::Join),
+            Just(Step::Term),
+            (0usize..300).prop_map(Step::Come),
         ];
-        proptest::collection::vec((1_000u64..900_000, word), 1..40)
+        proptest::collection::vec((1_000u64..900_000, step), 1..40)
     }
 
     proptest! {
-        /// Guards against a connection that is held past the end of a drain or of the program, one that is moved
-        /// while it serves, and a way back from SIGTERM.
+        /// Guards against a connection that is kept past the end of a drain or shutdown, one that is moved while the
+        /// balancer serves, and a return to serving after SIGTERM.
         #[test]
-        fn nobody_is_held_past_the_end_and_nobody_moves_while_it_serves(words in words()) {
-            let (mut drain, mut now, mut standing) = (Drain::default(), 1_000_000_000, 100usize);
-            prop_assert!(!drain.serves(), "before it takes clients");
-            drain.begin();
-            // When the last drain began that was not taken back, and when SIGTERM came.
+        fn connections_are_moved_by_the_end_and_never_while_serving(steps in steps()) {
+            let (mut drain, mut now, mut established) = (Drain::default(), 1_000_000_000, 100usize);
+            prop_assert!(!drain.is_serving(), "before it accepts clients");
+            drain.start_serving();
+            // Start of the drain in progress, and time of SIGTERM.
             let (mut since, mut term): (Option<Micros>, Option<Micros>) = (None, None);
-            for (gap, word) in words {
+            for (gap, step) in steps {
                 for _ in 0..gap / 20_000 {
                     now += 20_000;
-                    let moves = drain.moves(now, standing);
-                    prop_assert!(moves <= standing);
-                    prop_assert!(moves == 0 || !drain.serves());
-                    standing -= moves;
-                    let end = [since.map(|at| at + DRAINED), term.map(|at| at + 2_500_000)];
+                    let moves = drain.due_moves(now, established);
+                    prop_assert!(moves <= established);
+                    prop_assert!(moves == 0 || !drain.is_serving());
+                    established -= moves;
+                    let end = [since.map(|at| at + DRAIN_DURATION), term.map(|at| at + 2_500_000)];
                     if end.into_iter().flatten().min().is_some_and(|end| now >= end) {
-                        prop_assert_eq!(standing, 0);
+                        prop_assert_eq!(established, 0);
                     }
                 }
-                match word {
-                    Word::Come(n) => standing += n,
-                    Word::Leave => {
-                        if drain.drain(now) {
+                match step {
+                    Step::Come(n) => established += n,
+                    Step::Leave => {
+                        if drain.start_drain(now) {
                             prop_assert!(term.is_none());
                             since = Some(now);
                         }
                     }
-                    Word::Join => match drain.join() {
+                    Step::Join => match drain.join() {
                         Ok(_) => since = None,
-                        Err(Leaving) => prop_assert!(term.is_some()),
+                        Err(ShuttingDown) => prop_assert!(term.is_some()),
                     },
-                    Word::Term => {
-                        drain.leave(now + 1_000_000, now + 2_500_000);
+                    Step::Term => {
+                        drain.shut_down(now + 1_000_000, now + 2_500_000);
                         term.get_or_insert(now);
                     }
                 }
-                prop_assert_eq!(drain.serves(), since.is_none() && term.is_none());
-                prop_assert!(drain.invites() || since.is_some());
+                prop_assert_eq!(drain.is_serving(), since.is_none() && term.is_none());
+                prop_assert!(drain.passes_health_checks() || since.is_some());
             }
         }
 
-        /// Guards against a burst: in no turn go more than twice what is even, as long as nobody else comes.
+        /// Guards against a burst of moves: no step moves more than twice the even share while no client connects.
         #[test]
-        fn moves_are_even(standing in 1usize..2_000) {
-            let (mut drain, mut left) = (Drain::default(), standing);
-            drain.drain(0);
-            for turn in 0..150 {
-                let now = turn * 20_000;
-                let moves = drain.moves(now, left);
-                prop_assert!(moves == 0 || now > HEARD);
-                prop_assert!(moves <= 2 + 2 * standing * 20_000 / (DRAINED - HEARD) as usize);
+        fn moves_are_spread_evenly(established in 1usize..2_000) {
+            let (mut drain, mut left) = (Drain::default(), established);
+            drain.start_drain(0);
+            for step in 0..150 {
+                let now = step * 20_000;
+                let moves = drain.due_moves(now, left);
+                prop_assert!(moves == 0 || now > DRAIN_MOVE_DELAY);
+                prop_assert!(moves <= 2 + 2 * established * 20_000 / (DRAIN_DURATION - DRAIN_MOVE_DELAY) as usize);
                 left -= moves;
             }
-            prop_assert_eq!(drain.moves(DRAINED, left), left);
+            prop_assert_eq!(drain.due_moves(DRAIN_DURATION, left), left);
         }
     }
 }
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,18 +1,18 @@
-//! The core: owns the decision module and carries out what it says. It knows no bytes; the fronts see
-//! [`carry`], [`Client`], [`Dialer`] and [`Command`].
+//! The broker: passes events to the decision module and carries out its actions. It does no socket I/O; the protocol
+//! front ends use [`run_command`], [`Client`], [`Dialer`] and [`Command`].
 //!
-//! The shop's words: a *command* is a request, an *execution* one attempt at it, an *instance* a session
-//! server, a *nack* a refusal, the *service client* whoever asks.
+//! Terms: a *command* is a request for a connection, an *execution* is one attempt at it, an *instance* is a session
+//! server, a *nack* is a refusal, and a *service client* is the process that sent the request.
 
 mod command;
 pub mod core;
 pub mod deadlines;
 pub mod drain;
-pub mod figures;
 pub mod front;
 pub mod handover;
 pub mod instances;
-pub mod loads;
+pub mod load_history;
+pub mod metrics;
 pub mod occupancy;
 pub mod operations;
 pub mod zones;
@@ -23,14 +23,14 @@
 use crate::failover::plan::Plan;
 use crate::rebalance::PlanEvent;
 use crate::wire::Names;
-pub use command::{carry, carry_on, Command, SILENT};
+pub use command::{resume_connection, run_command, Command, SILENCE_TIMEOUT};
 use core::Core;
-use deadlines::{Clock, Deadlines, Wait};
+use deadlines::{Clock, Deadlines, Sleep};
 use drain::Drain;
-use figures::{Figures, Members, Tally};
-pub use front::{Client, Dialer, Ended, Execution, Failure, Gone};
-use handover::Stand;
+pub use front::{Client, ClientGone, ConnectionEnd, Dialer, Execution, Failure};
+use handover::HandedOverConnection;
 use instances::{Instances, Listing};
+use metrics::{CommandMetrics, MemberCounts, Metrics};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -38,424 +38,444 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{watch, Notify};
 
-/// Descriptors of a connection with a command: its own and its link's.
-const CONNECTION: usize = 2;
-/// Answers leave this long before the service client gives up, so that they arrive in time.
-const ANSWER_AHEAD: Micros = 15_000;
-/// What the core asks of the network beside executions.
+/// Number of file descriptors that a command uses: one for the service client's connection and one for the instance's.
+const DESCRIPTORS_PER_CONNECTION: usize = 2;
+/// Time before the service client's deadline at which an answer is sent, so that it arrives in time.
+const ANSWER_MARGIN: Micros = 15_000;
+/// Time by which a command's own deadline is later than that of the decision module.
+const DEADLINE_GRACE: Micros = 1_000;
+/// Shortest deadline of a service client whose class has none.
+const MIN_DEFAULT_DEADLINE: Micros = 1_000_000;
+
+/// A request to the network code other than an execution.
 #[derive(Debug)]
-pub enum Order {
-    /// Probe an instance and say how it went with [`Broker::probed`].
+pub enum NetworkRequest {
+    /// Probe an instance and report the result with [`Broker::record_probe`].
     Probe(HostId, SocketAddr),
-    /// Watch discovery from this version of the list on, and say so when the watch ends.
+    /// Watch the list at discovery from this version on, and report the end of the watch with [`Broker::watch_ended`].
     Watch(u64),
-    /// Discovery is at this address from now on.
-    Discovery(SocketAddr),
+    /// Use this address for discovery.
+    SetDiscoveryAddress(SocketAddr),
 }
 
-/// What the module, or the program's end, says to a command.
+/// An instruction of the decision module, or of a drain or shutdown, to a command.
 #[derive(Debug)]
-enum Word {
+enum Instruction {
     Execute { instance: HostId, patience: Micros },
     Nack(Option<Micros>),
     Fail,
     Move,
 }
 
-/// Refused before anything was spent on it, by its contract or for want of descriptors; come again after so long.
+/// A command was refused before its first execution, by its contract or for lack of file descriptors. Holds the retry
+/// delay.
 struct Refused(Option<Micros>);
 
 #[derive(Default)]
 struct State {
     core: Core,
     instances: Instances,
-    commands: BTreeMap<CallId, UnboundedSender<Word>>,
-    /// Standing connections, in the order in which they came.
-    standing: VecDeque<CallId>,
+    commands: BTreeMap<CallId, UnboundedSender<Instruction>>,
+    /// Established connections, in the order in which they were established.
+    established: VecDeque<CallId>,
 }
 
-/// What is known of the list of servers that is held.
+/// State of the instance list in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// It came with the configuration; its age is unknown.
-    Given,
-    /// Discovery has told all that had changed.
+    /// The list was read from the configuration; its age is unknown.
+    Configured,
+    /// Discovery has answered with all changes of the list.
     Confirmed,
-    /// The last call failed, or the watch has ended.
+    /// The last call to discovery failed, or the watch has ended.
     Unreachable,
 }
 
-/// The core of one balancer.
+/// The broker of one balancer process.
 pub struct Broker {
     state: RefCell<State>,
     clock: Clock,
     deadlines: Rc<Deadlines>,
     names: Names,
-    /// Whether instances tell how long messages take there.
-    delays_told: bool,
-    /// Changes of the list count as told, asked for or not.
-    pushed: bool,
-    /// It is one of so many that it mostly has one connection at an instance.
-    many: bool,
-    /// The longest that a client waits.
-    longest: Micros,
+    /// Whether instances report the delay of messages.
+    message_delays_reported: bool,
+    /// Whether list changes count as notified to this balancer even when it did not ask for them.
+    list_is_pushed: bool,
+    /// Whether the fleet has so many balancers that each usually has a single connection per instance.
+    is_large_fleet: bool,
+    /// Longest deadline of any class.
+    max_deadline: Micros,
     class_deadlines: Vec<Micros>,
-    /// When contracts are looked at next, and what says that it has become sooner.
-    turn_at: Cell<Micros>,
-    sooner: Notify,
+    /// Time of the next scheduled work. `due_changed` notifies the task that runs it when this time becomes earlier.
+    next_due: Cell<Micros>,
+    due_changed: Notify,
     connect_timeout: Micros,
-    must_ask_in: Option<Micros>,
-    orders: UnboundedSender<Order>,
-    descriptors: Cell<usize>,
+    max_poll_interval: Option<Micros>,
+    network_requests: UnboundedSender<NetworkRequest>,
+    free_descriptors: Cell<usize>,
     drain: RefCell<Drain>,
-    figures: Rc<Figures>,
-    /// Says that moves of a drain are to be looked at.
-    drains: Notify,
-    /// What discovery has answered in this run.
+    metrics: Rc<Metrics>,
+    /// Notifies the task that moves connections when a drain or shutdown starts.
+    drain_started: Notify,
+    /// State of the list since the start of the process.
     list_state: watch::Sender<ListState>,
 }
 
 impl Broker {
-    /// A core that knows no instance yet; `descriptors` is how many the connections may hold.
+    /// Creates a broker without instances, and the receiver of its requests to the network code. `descriptors` is the
+    /// number of file descriptors that connections may use.
     pub fn new(
         settings: Settings,
         names: Names,
         seed: u64,
         descriptors: usize,
-    ) -> Result<(Rc<Broker>, UnboundedReceiver<Order>), SettingsError> {
-        let ((orders, ordered), classes) = (unbounded_channel(), settings.classes.len());
+    ) -> Result<(Rc<Broker>, UnboundedReceiver<NetworkRequest>), SettingsError> {
+        let ((network_requests, request_receiver), classes) = (unbounded_channel(), settings.classes.len());
         let broker = Broker {
-            delays_told: settings.message_delays_reported,
-            pushed: settings.discovery == Discovery::Pushed,
-            many: settings.peers_total > crate::placement::SMALL_FLEET_NODES,
-            longest: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
-            turn_at: Cell::new(Micros::MAX),
-            sooner: Notify::new(),
+            message_delays_reported: settings.message_delays_reported,
+            list_is_pushed: settings.discovery == Discovery::Pushed,
+            is_large_fleet: settings.peers_total > crate::placement::SMALL_FLEET_NODES,
+            max_deadline: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
+            next_due: Cell::new(Micros::MAX),
+            due_changed: Notify::new(),
             class_deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
             connect_timeout: settings.connect_timeout,
-            must_ask_in: settings.max_poll_interval,
+            max_poll_interval: settings.max_poll_interval,
             state: RefCell::new(State { core: Core::new(settings, &names, seed)?, ..State::default() }),
             clock: Clock::new(),
             deadlines: Rc::default(),
             names,
-            orders,
-            descriptors: Cell::new(descriptors),
+            network_requests,
+            free_descriptors: Cell::new(descriptors),
             drain: RefCell::default(),
-            figures: Figures::new(classes),
-            drains: Notify::new(),
-            list_state: watch::Sender::new(ListState::Given),
+            metrics: Metrics::new(classes),
+            drain_started: Notify::new(),
+            list_state: watch::Sender::new(ListState::Configured),
         };
-        Ok((Rc::new(broker), ordered))
+        Ok((Rc::new(broker), request_receiver))
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Ends at that time.
-    pub fn until(&self, at: Micros) -> Wait {
-        self.deadlines.until(at)
+    /// Returns a future that completes at this time.
+    pub fn sleep_until(&self, at: Micros) -> Sleep {
+        self.deadlines.sleep_until(at)
     }
 
-    /// Ends after that long.
-    pub fn after(&self, span: Micros) -> Wait {
-        self.until(self.now().saturating_add(span))
+    /// Returns a future that completes after this time span.
+    pub fn sleep(&self, span: Micros) -> Sleep {
+        self.sleep_until(self.now().saturating_add(span))
     }
 
-    /// Names of classes, tenants and zones.
+    /// Returns the names of classes, tenants and zones.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// How long the list may go unasked for.
-    pub fn must_ask_in(&self) -> Micros {
-        self.must_ask_in.unwrap_or(Micros::MAX)
+    /// Returns the longest allowed time between two requests for the list; `Micros::MAX` if there is no limit.
+    pub fn max_poll_interval(&self) -> Micros {
+        self.max_poll_interval.unwrap_or(Micros::MAX)
     }
 
-    /// How long a connection to an instance may take to come up.
+    /// Returns the time limit for connecting to an instance.
     pub fn connect_timeout(&self) -> Micros {
         self.connect_timeout
     }
 
-    /// How long a service client of a class waits.
+    /// Returns how long a service client of this class waits for its answer.
     pub fn deadline(&self, class: usize) -> Micros {
-        self.class_deadlines.get(class).copied().filter(|&d| d > 0).unwrap_or(self.longest.max(1_000_000))
+        self.class_deadlines
+            .get(class)
+            .copied()
+            .filter(|&d| d > 0)
+            .unwrap_or(self.max_deadline.max(MIN_DEFAULT_DEADLINE))
     }
 
-    /// The longest that any service client waits.
-    pub fn longest(&self) -> Micros {
-        self.longest
+    /// Returns the longest deadline of any class.
+    pub fn max_deadline(&self) -> Micros {
+        self.max_deadline
     }
 
-    /// Takes descriptors out of the budget until the guard is dropped; none where too few are left.
-    pub fn descriptors(self: &Rc<Self>, n: usize) -> Option<Descriptors> {
-        self.descriptors.set(self.descriptors.get().checked_sub(n)?);
-        Some(Descriptors(self.clone(), n))
+    /// Reserves file descriptors until the returned guard is dropped. Returns `None` if too few are free.
+    pub fn reserve_descriptors(self: &Rc<Self>, n: usize) -> Option<DescriptorReservation> {
+        self.free_descriptors.set(self.free_descriptors.get().checked_sub(n)?);
+        Some(DescriptorReservation(self.clone(), n))
     }
 
-    /// Sweeps the deadlines for ever.
-    pub async fn sweep(&self) {
-        self.deadlines.sweep(self.clock, |token| self.tell(Event::Timer { token })).await
+    /// Runs the deadlines; does not return.
+    pub async fn run_deadlines(&self) {
+        self.deadlines.run(self.clock, |token| self.handle_event(Event::Timer { token })).await
     }
 
-    /// Discovery is at this address from now on.
-    pub fn discovery_at(&self, address: SocketAddr) {
-        // Cannot fail while the program runs: main holds the other end.
-        let _ = self.orders.send(Order::Discovery(address));
+    /// Sets the address of discovery.
+    pub fn set_discovery_address(&self, address: SocketAddr) {
+        // Cannot fail while the program runs: its main task holds the receiver.
+        let _ = self.network_requests.send(NetworkRequest::SetDiscoveryAddress(address));
     }
 
-    /// Version of the list held.
+    /// Returns the version of the list in use.
     pub fn list_version(&self) -> u64 {
-        self.state.borrow().instances.index
+        self.state.borrow().instances.list_version
     }
 
-    /// Whether changes of the list count as told without our asking.
-    pub fn pushed(&self) -> bool {
-        self.pushed
+    /// Returns whether list changes count as notified to this balancer even when it did not ask for them.
+    pub fn list_is_pushed(&self) -> bool {
+        self.list_is_pushed
     }
 
-    /// News of the list.
-    pub fn listed(&self, kind: ListKind, listing: Listing) {
-        let hosts = self.state.borrow_mut().instances.news(kind, listing, &self.names);
-        self.tell(Event::Members { kind, hosts });
-        if kind == ListKind::Cached && self.pushed {
-            // The module asks where it has to. Here nobody has to, but on sockets news comes by the watch alone.
-            let _ = self.orders.send(Order::Watch(self.list_version()));
+    /// Applies an update of the instance list.
+    pub fn update_list(&self, kind: ListKind, listing: Listing) {
+        let hosts = self.state.borrow_mut().instances.apply_update(kind, listing, &self.names);
+        self.handle_event(Event::Members { kind, hosts });
+        if kind == ListKind::Cached && self.list_is_pushed {
+            // The decision module requests a watch only where it must ask for changes. With pushed changes it need not,
+            // but this process still receives updates only through a watch.
+            let _ = self.network_requests.send(NetworkRequest::Watch(self.list_version()));
         }
     }
 
-    /// All that discovery had to tell when it answered has been taken in.
+    /// Records that all changes up to discovery's answer have been applied.
     pub fn list_confirmed(&self) {
         self.list_state.send_replace(ListState::Confirmed);
     }
 
-    /// What discovery has answered in this run, and each change of that.
+    /// Returns a receiver of the list state and its changes.
     pub fn list_state(&self) -> watch::Receiver<ListState> {
         self.list_state.subscribe()
     }
 
-    /// The watch could not be had, or has ended.
+    /// Records that the watch could not be established, or has ended.
     pub fn watch_ended(&self) {
         self.list_state.send_replace(ListState::Unreachable);
-        self.no_list();
+        self.list_unavailable();
     }
 
-    /// There is no list, or no watch: the module asks.
-    pub fn no_list(&self) {
-        self.tell(Event::Members { kind: ListKind::Failed, hosts: Vec::new() });
+    /// Reports to the decision module that there is no list or no watch, so that it asks again.
+    pub fn list_unavailable(&self) {
+        self.handle_event(Event::Members { kind: ListKind::Failed, hosts: Vec::new() });
     }
 
-    /// How a probe went.
-    pub fn probed(&self, host: HostId, outcome: Outcome, load: Option<f64>) {
-        self.tell(Event::Probed { host, outcome, load });
+    /// Records the result of a probe.
+    pub fn record_probe(&self, host: HostId, outcome: Outcome, load: Option<f64>) {
+        self.handle_event(Event::Probed { host, outcome, load });
     }
 
-    /// The one way to the module.
-    fn tell(&self, event: Event) {
+    /// Passes an event to the decision module and applies the resulting actions.
+    fn handle_event(&self, event: Event) {
         let (mut actions, state) = (Vec::new(), &mut *self.state.borrow_mut());
         tracing::debug!("told: {event:?}");
-        state.core.tell(self.now(), event, &mut actions);
-        self.carry_out(state, actions);
-        self.look(state);
+        state.core.handle_event(self.now(), event, &mut actions);
+        self.apply_actions(state, actions);
+        self.schedule_due(state);
     }
 
-    /// Has the core looked at when it next wants it.
-    fn look(&self, state: &mut State) {
-        let due = state.core.due(self.now()).unwrap_or(Micros::MAX);
-        if due < self.turn_at.get() {
-            self.turn_at.set(due);
-            self.sooner.notify_one();
+    /// Notifies the task of scheduled work if the next work is due earlier than before.
+    fn schedule_due(&self, state: &mut State) {
+        let due = state.core.next_due(self.now()).unwrap_or(Micros::MAX);
+        if due < self.next_due.get() {
+            self.next_due.set(due);
+            self.due_changed.notify_one();
         }
     }
 
-    /// Carries out what was decided.
-    fn carry_out(&self, state: &State, actions: Vec<Action>) {
+    /// Applies the actions that were decided.
+    fn apply_actions(&self, state: &State, actions: Vec<Action>) {
         if !actions.is_empty() {
             tracing::debug!("decided: {actions:?}");
         }
         for action in actions {
-            let (call, word) = match action {
-                Action::Send { call, host, patience } => (call, Word::Execute { instance: host, patience }),
-                Action::Refuse { call, retry_after } => (call, Word::Nack(retry_after)),
-                Action::Fail { call } => (call, Word::Fail),
-                Action::Move { call } => (call, Word::Move),
+            let (call, instruction) = match action {
+                Action::Send { call, host, patience } => {
+                    (call, Instruction::Execute { instance: host, patience })
+                }
+                Action::Refuse { call, retry_after } => (call, Instruction::Nack(retry_after)),
+                Action::Fail { call } => (call, Instruction::Fail),
+                Action::Move { call } => (call, Instruction::Move),
                 Action::Timer { at, token } => {
-                    self.deadlines.remind(at, token);
+                    self.deadlines.add_timer(at, token);
                     continue;
                 }
                 Action::Probe { host } => {
                     if let Some(instance) = state.instances.get(host) {
-                        // Cannot fail while the program runs: main holds the other end.
-                        let _ = self.orders.send(Order::Probe(host, instance.address));
+                        // Cannot fail while the program runs: its main task holds the receiver.
+                        let _ = self.network_requests.send(NetworkRequest::Probe(host, instance.address));
                     }
                     continue;
                 }
                 Action::Watch => {
-                    let _ = self.orders.send(Order::Watch(state.instances.index));
+                    let _ = self.network_requests.send(NetworkRequest::Watch(state.instances.list_version));
                     continue;
                 }
             };
             if let Some(command) = state.commands.get(&call) {
-                // A command that has just ended needs no word.
-                let _ = command.send(word);
+                // Fails only for a command that has just ended; it needs no instruction.
+                let _ = command.send(instruction);
             }
         }
     }
 
     fn register(self: &Rc<Self>, call: &CallId, left: Micros) -> Command {
-        let (words, heard) = unbounded_channel();
-        self.state.borrow_mut().commands.insert(call.clone(), words);
+        let (sender, instructions) = unbounded_channel();
+        self.state.borrow_mut().commands.insert(call.clone(), sender);
         let deadline = self.now().saturating_add(left);
         Command {
             broker: self.clone(),
             id: call.clone(),
-            heard,
+            instructions,
             deadline,
-            late: false,
-            out: None,
-            executions: 0,
-            loaded: false,
-            stands: false,
-            over: false,
+            deadline_passed: false,
+            execution: None,
+            execution_count: 0,
+            load_reported: false,
+            established: false,
+            ended: false,
             descriptors: None,
         }
     }
 
-    /// Whether this id is in hand already.
-    pub fn knows(&self, call: &str) -> bool {
+    /// Returns whether a command with this id is active.
+    pub fn has_command(&self, call: &str) -> bool {
         self.state.borrow().commands.contains_key(call)
     }
 
-    /// Takes a command on, unless contracts refuse it.
-    fn take(self: &Rc<Self>, mut demand: Demand, team: Option<&str>) -> Result<Command, Refused> {
-        demand.left = demand.left.saturating_sub(ANSWER_AHEAD);
-        // Contracts first: a flood that they refuse must not use up what the others' links need.
+    /// Accepts a command, or refuses it by its contract or for lack of file descriptors.
+    fn accept(self: &Rc<Self>, mut demand: Demand, team: Option<&str>) -> Result<Command, Refused> {
+        demand.left = demand.left.saturating_sub(ANSWER_MARGIN);
+        // Contracts are checked first: a flood of commands that they refuse must not use up the descriptors that other
+        // teams need.
         let admitted = {
             let state = &mut *self.state.borrow_mut();
             let admitted = state.core.admit(self.now(), &mut demand, team);
-            self.look(state);
+            self.schedule_due(state);
             admitted
         };
-        if let Err(no) = admitted {
-            tracing::debug!(team, reason = no.reason.name(), "refused by contract");
-            return Err(Refused(no.after));
+        if let Err(refused) = admitted {
+            tracing::debug!(team, reason = refused.reason.name(), "refused by contract");
+            return Err(Refused(refused.retry_after));
         }
-        // Counted before it is placed: one that cannot have its link must not fail at its instance.
-        let Some(both) = self.descriptors(CONNECTION) else {
-            tracing::warn!("the descriptors are used up: a command was turned away");
+        // Descriptors are reserved before placement: a command that could not open its link would count as a failure of
+        // the instance.
+        let Some(descriptors) = self.reserve_descriptors(DESCRIPTORS_PER_CONNECTION) else {
+            tracing::warn!("no file descriptors are free: a command was refused");
             self.state.borrow_mut().core.withdraw(self.now(), &demand.call);
             return Err(Refused(None));
         };
-        // A little after the module's own deadline, which it counts from when it is told: else a time-out at
-        // the deadline comes before it, and the module tries once more with no time left.
-        let mut command = self.register(&demand.call, demand.left.saturating_add(1_000));
-        command.descriptors = Some(both);
-        self.tell(Event::Demand(demand));
+        // Slightly later than the decision module's own deadline, which starts when it receives the event: otherwise a
+        // timeout here comes first, and the module starts one more attempt with no time left.
+        let mut command = self.register(&demand.call, demand.left.saturating_add(DEADLINE_GRACE));
+        command.descriptors = Some(descriptors);
+        self.handle_event(Event::Demand(demand));
         Ok(command)
     }
 
     fn adopt(self: &Rc<Self>, demand: Demand, team: Option<&str>, host: HostId) -> Command {
         let mut command = self.register(&demand.call, Micros::MAX);
-        command.out = Some((host, self.now()));
-        command.executions = 1;
+        command.execution = Some((host, self.now()));
+        command.execution_count = 1;
         {
             let state = &mut *self.state.borrow_mut();
             let actions = state.core.adopt(self.now(), demand, team, host);
-            self.carry_out(state, actions);
-            self.look(state);
+            self.apply_actions(state, actions);
+            self.schedule_due(state);
         }
-        command.stand();
+        command.mark_established();
         command
     }
 
-    /// Does what is due without an event, for ever.
-    pub async fn keep_contracts(self: &Rc<Self>) -> ! {
+    /// Runs work that is due without an event, such as changes of reserves and rebalancing moves; does not return.
+    pub async fn run_scheduled_work(self: &Rc<Self>) -> ! {
         loop {
             {
                 let (mut actions, state) = (Vec::new(), &mut *self.state.borrow_mut());
-                state.core.turn(self.now(), &mut actions);
-                for note in state.core.notes() {
-                    match note {
-                        PlanEvent::Started(n, worst) => tracing::info!(n, worst, "rebalancing begins"),
-                        PlanEvent::Paused(cause) => tracing::info!(cause, "rebalancing rests"),
+                state.core.run_due(self.now(), &mut actions);
+                for event in state.core.take_rebalance_events() {
+                    match event {
+                        PlanEvent::Started(n, worst) => tracing::info!(n, worst, "rebalancing started"),
+                        PlanEvent::Paused(cause) => tracing::info!(cause, "rebalancing paused"),
                         PlanEvent::Finished(moved, worst) => {
-                            tracing::info!(moved, worst, "rebalancing has ended")
+                            tracing::info!(moved, worst, "rebalancing finished")
                         }
                     }
                 }
-                self.carry_out(state, actions);
-                self.turn_at.set(state.core.due(self.now()).unwrap_or(Micros::MAX));
+                self.apply_actions(state, actions);
+                self.next_due.set(state.core.next_due(self.now()).unwrap_or(Micros::MAX));
             }
             tokio::select! {
-                () = self.until(self.turn_at.get().max(self.now() + TURN)) => {}
-                () = self.sooner.notified() => {}
+                () = self.sleep_until(self.next_due.get().max(self.now() + STEP_INTERVAL)) => {}
+                () = self.due_changed.notified() => {}
             }
         }
     }
 
-    /// Other contracts are in force from now on, or none: what changed. The terms must be valid.
-    pub fn contract(&self, terms: Option<Terms>) -> Vec<TermsChange> {
+    /// Replaces the contracts in force, or removes them, and returns the changes. The terms must be valid.
+    pub fn set_contracts(&self, terms: Option<Terms>) -> Vec<TermsChange> {
         let state = &mut *self.state.borrow_mut();
-        let changes = state.core.contract(self.now(), terms);
-        self.look(state);
+        let changes = state.core.set_contracts(self.now(), terms);
+        self.schedule_due(state);
         changes
     }
 
-    /// Slow rebalancing by these terms from now on, or none.
-    pub fn rebalance(&self, terms: Option<crate::rebalance::RebalanceSettings>) {
+    /// Enables rebalancing with these settings, or disables it.
+    pub fn set_rebalance(&self, settings: Option<crate::rebalance::RebalanceSettings>) {
         let state = &mut *self.state.borrow_mut();
-        state.core.rebalance(self.now(), terms);
-        self.look(state);
+        state.core.set_rebalance(self.now(), settings);
+        self.schedule_due(state);
     }
 
-    /// Zones by the fleet's plan from now on.
-    pub fn zones(&self, terms: crate::failover::FailoverSettings, context: zones::BalancerContext) {
-        self.state.borrow_mut().core.zones(terms, context);
+    /// Enables routing to zones by the fleet's plan.
+    pub fn enable_zones(&self, settings: crate::failover::FailoverSettings, context: zones::BalancerContext) {
+        self.state.borrow_mut().core.enable_zones(settings, context);
     }
 
-    /// The fleet's plan as the record has it: whoever it has elsewhere is asked to move, at the fleet's pace.
-    pub fn follow(&self, plan: Option<&Plan>) {
+    /// Applies the plan of the replicated state. Connections that it places in another zone are asked to move, at the
+    /// rate allowed for the fleet.
+    pub fn follow_plan(&self, plan: Option<&Plan>) {
         let state = &mut *self.state.borrow_mut();
-        let (moves, changed) = state.core.follow(self.now(), plan);
+        let (moves, changed) = state.core.follow_plan(self.now(), plan);
         match changed {
             Some(Some(serial)) => tracing::info!(serial, "zones: another plan is followed"),
-            Some(None) => tracing::warn!("zones: no plan is valid any more: this balancer judges alone"),
+            Some(None) => tracing::warn!("zones: no plan is valid any more: zones are chosen without a plan"),
             None => {}
         }
-        self.carry_out(state, moves);
+        self.apply_actions(state, moves);
     }
 
-    /// What was seen of the zones here, where there is a plan to be made of it.
+    /// Returns the digest of this balancer's zone observations and starts the zone probes that are due; `None` without
+    /// failover.
     pub fn digest(&self) -> Option<Digest> {
         let state = &mut *self.state.borrow_mut();
         let (digest, probes) = state.core.digest(self.now())?;
-        self.carry_out(state, probes.into_iter().map(|host| Action::Probe { host }).collect());
+        self.apply_actions(state, probes.into_iter().map(|host| Action::Probe { host }).collect());
         Some(digest)
     }
 
-    /// In a group: until when, by [`Broker::now`], this balancer may move connections home. From then on it moves none, whoever is
-    /// late to say so.
+    /// In a group: sets the time, by [`Broker::now`], until which this balancer may rebalance. From then on it moves no
+    /// connection, even if the notification that the lease has ended arrives late.
     pub fn may_rebalance_until(&self, until: Micros) {
         let state = &mut *self.state.borrow_mut();
         state.core.may_rebalance_until(until);
-        self.look(state);
+        self.schedule_due(state);
     }
 
-    /// Shows the contracts, where there are any.
+    /// Returns the result of `show` on the contracts, or `None` without contracts.
     pub fn contracts<T>(&self, show: impl FnOnce(&Contracts) -> T) -> Option<T> {
         self.state.borrow().core.contracts().map(show)
     }
 
-    /// Books a command of a class until this is dropped: one that is given no end by then has failed.
-    pub fn tally(&self, class: usize) -> Rc<Tally> {
-        Rc::new(self.figures.taken(class))
+    /// Counts a command of a class as pending until the returned value is dropped. A command without a result by then
+    /// counts as failed.
+    pub fn count_command(&self, class: usize) -> Rc<CommandMetrics> {
+        Rc::new(self.metrics.begin_command(class))
     }
 
-    fn members(&self) -> Members {
+    fn member_counts(&self) -> MemberCounts {
         let state = self.state.borrow();
-        let (listed, takes) = (state.instances.listed(), state.core.takes(self.now()));
-        Members { listed, avoided: listed.saturating_sub(takes) }
+        let (listed, accepting) =
+            (state.instances.listed_count(), state.core.accepting_instances(self.now()));
+        MemberCounts { listed, unavailable: listed.saturating_sub(accepting) }
     }
 
     fn execution(
@@ -463,85 +483,93 @@
         call: &CallId,
         instance: HostId,
         until: Micros,
-        tally: &Rc<Tally>,
+        command_metrics: &Rc<CommandMetrics>,
     ) -> Option<Execution> {
         let state = self.state.borrow();
         let (name, address) = state.instances.get(instance).map(|i| (i.name.clone(), i.address))?;
-        let (call, tally) = (call.clone(), tally.clone());
-        Some(Execution { instance, name, address, until, call, tally, broker: self.clone() })
+        let (call, command_metrics) = (call.clone(), command_metrics.clone());
+        Some(Execution {
+            instance,
+            name,
+            address,
+            deadline: until,
+            call,
+            command_metrics,
+            broker: self.clone(),
+        })
     }
 
-    /// Whether the front is told to send clients.
-    pub fn invites(&self) -> bool {
-        self.drain.borrow().invites()
+    /// Returns whether health checks of the client-facing load balancer get a positive answer.
+    pub fn passes_health_checks(&self) -> bool {
+        self.drain.borrow().passes_health_checks()
     }
 
-    /// What stands here, for the process after this one.
-    pub fn stands(&self) -> Vec<Stand> {
-        self.state.borrow().core.stands(self.now())
+    /// Returns the established connections, for the handover to the next process.
+    pub fn established_connections(&self) -> Vec<HandedOverConnection> {
+        self.state.borrow().core.established_connections(self.now())
     }
 
-    /// What stands at the process before this one.
-    pub fn inherit(&self, stands: Vec<Stand>) {
+    /// Counts the connections that are established at the previous process.
+    pub fn inherit_connections(&self, connections: Vec<HandedOverConnection>) {
         let state = &mut *self.state.borrow_mut();
-        state.core.inherit(self.now(), stands);
-        self.look(state);
+        state.core.inherit_connections(self.now(), connections);
+        self.schedule_due(state);
     }
 
-    /// The process before this one has ended.
-    pub fn alone(&self) {
-        self.state.borrow_mut().core.alone(self.now());
+    /// Records that the previous process has ended.
+    pub fn predecessor_ended(&self) {
+        self.state.borrow_mut().core.predecessor_ended(self.now());
     }
 
-    /// Clients are taken from now on.
-    pub fn begin(&self) {
-        self.drain.borrow_mut().begin();
+    /// Records that this process accepts clients from now on.
+    pub fn start_serving(&self) {
+        self.drain.borrow_mut().start_serving();
     }
 
-    /// Whether the program is to end.
-    pub fn leaving(&self) -> bool {
-        self.drain.borrow().leaves()
+    /// Returns whether the process is shutting down.
+    pub fn is_shutting_down(&self) -> bool {
+        self.drain.borrow().is_shutting_down()
     }
 
-    /// The program is to end: every service client is asked to come again between these times.
-    pub fn leave(&self, from: Micros, end: Micros) {
-        self.drain.borrow_mut().leave(from, end);
-        self.drains.notify_one();
+    /// Starts the shutdown: every service client is asked to reconnect between these times.
+    pub fn shut_down(&self, from: Micros, end: Micros) {
+        self.drain.borrow_mut().shut_down(from, end);
+        self.drain_started.notify_one();
     }
 
-    /// Asks service clients to come again while this balancer drains or leaves, for ever. Rebalancing rests
-    /// meanwhile: one cause of moves at a time.
-    pub async fn keep_drain(&self) -> ! {
+    /// Asks service clients to reconnect while this balancer drains or shuts down; does not return. Rebalancing is
+    /// paused meanwhile, so that moves have one cause at a time.
+    pub async fn run_drain(&self) -> ! {
         loop {
-            if !self.drain.borrow().empties() {
-                self.drains.notified().await;
+            if !self.drain.borrow().is_moving_connections() {
+                self.drain_started.notified().await;
             }
-            self.after(TURN).await;
+            self.sleep(STEP_INTERVAL).await;
             let state = &mut *self.state.borrow_mut();
-            state.core.rests(self.now(), "the balancer drains");
-            let moves = self.drain.borrow_mut().moves(self.now(), state.standing.len());
-            for call in state.standing.drain(..moves) {
+            state.core.pause_rebalance(self.now(), "the balancer is draining");
+            let moves = self.drain.borrow_mut().due_moves(self.now(), state.established.len());
+            for call in state.established.drain(..moves) {
                 if let Some(command) = state.commands.get(&call) {
-                    let _ = command.send(Word::Move);
+                    let _ = command.send(Instruction::Move);
                 }
             }
         }
     }
 
-    /// How many commands are in hand or stand.
-    pub fn in_hand(&self) -> usize {
+    /// Returns the number of commands, pending and established.
+    pub fn active_commands(&self) -> usize {
         self.state.borrow().commands.len()
     }
 }
 
-/// Between two looks at what is done bit by bit.
-const TURN: Micros = 20_000;
+/// Shortest time between two steps of scheduled work and of a drain.
+const STEP_INTERVAL: Micros = 20_000;
 
-/// A part of the descriptor budget.
-pub struct Descriptors(Rc<Broker>, usize);
+/// Reserved file descriptors; dropping it returns them.
+pub struct DescriptorReservation(Rc<Broker>, usize);
 
-impl Drop for Descriptors {
+impl Drop for DescriptorReservation {
     fn drop(&mut self) {
-        self.0.descriptors.set(self.0.descriptors.get() + self.1);
+        self.0.free_descriptors.set(self.0.free_descriptors.get() + self.1);
     }
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -125,7 +125,7 @@
         match command {
             Some(AdminCommand::Health) if self.operations.ready() => "200 ready\r\n".into(),
             Some(AdminCommand::Health) => "400 not ready\r\n".into(),
-            Some(AdminCommand::Dump) => format!("200 figures\r\n{}EOF\r\n", self.operations.figures()),
+            Some(AdminCommand::Dump) => format!("200 figures\r\n{}EOF\r\n", self.operations.metrics()),
             Some(AdminCommand::Leave) => {
                 self.operations.leave();
                 "200 draining\r\n".into()
@@ -193,7 +193,7 @@
     };
     tokio::select! {
         () = written => {}
-        () = server.idle.broker().after(COMMAND_TIMEOUT) => {}
+        () = server.idle.broker().sleep(COMMAND_TIMEOUT) => {}
     }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -110,7 +110,7 @@
                 let index = listing.index;
                 self.change_at_last_list.set(self.address_changes.get());
                 self.previous.borrow_mut().drain(..).for_each(|watch| watch.abort());
-                broker.listed(ListKind::Full, listing);
+                broker.update_list(ListKind::Full, listing);
                 broker.list_confirmed();
                 index
             }
@@ -156,7 +156,7 @@
             return tracing::warn!("discovery: version {index} of the list came after {newest}: ignored");
         }
         let kind = if listing.snapshot { ListKind::Full } else { ListKind::Changes };
-        self.broker.listed(kind, listing);
+        self.broker.update_list(kind, listing);
     }
 }
 
@@ -190,7 +190,7 @@
     };
     let response = tokio::select! {
         response = response => response?,
-        () = broker.after(RESPONSE_TIMEOUT.min(broker.must_ask_in() / 2)) => {
+        () = broker.sleep(RESPONSE_TIMEOUT.min(broker.max_poll_interval() / 2)) => {
             return Err("no response within the time limit".into())
         }
     };
@@ -204,7 +204,7 @@
 async fn next_chunk(broker: &Rc<Broker>, body: &mut Incoming) -> Result<Option<Bytes>, String> {
     let frame = tokio::select! {
         frame = body.frame() => frame,
-        () = broker.after(SILENCE_TIMEOUT) => return Err(SILENCE_ERROR.into()),
+        () = broker.sleep(SILENCE_TIMEOUT) => return Err(SILENCE_ERROR.into()),
     };
     match frame {
         Some(frame) => Ok(Some(frame.map_err(error_text)?.into_data().unwrap_or_default())),
--- a/src/net/idle.rs
+++ b/src/net/idle.rs
@@ -100,7 +100,7 @@
     /// Waits until `at` or until the connection is evicted, and returns which came first.
     pub async fn ended(&self, at: Micros) -> SlotEnd {
         tokio::select! {
-            () = self.idle.broker.until(at) => SlotEnd::TimedOut,
+            () = self.idle.broker.sleep_until(at) => SlotEnd::TimedOut,
             () = self.evicted.notified() => SlotEnd::Evicted,
         }
     }
--- a/src/net/links.rs
+++ b/src/net/links.rs
@@ -55,7 +55,7 @@
 pub async fn connect(broker: &Rc<Broker>, address: SocketAddr) -> Result<Link, Outcome> {
     let stream = tokio::select! {
         connected = TcpStream::connect(address) => connected.map_err(|_| Outcome::ConnectFailed)?,
-        () = broker.after(broker.connect_timeout()) => return Err(Outcome::ConnectFailed),
+        () = broker.sleep(broker.connect_timeout()) => return Err(Outcome::ConnectFailed),
     };
     let _ = stream.set_nodelay(true);
     Ok(Link::new(stream))
@@ -71,13 +71,13 @@
 ) -> Result<Link, Outcome> {
     let mut link = connect(broker, address).await?;
     // A list update may have arrived while the connection was made: a draining instance gets nothing new.
-    if !execution.still_open() {
+    if !execution.may_send() {
         return Err(Outcome::Moot);
     }
     let line = first_line();
     // The connection broke before the last byte of the line was written: the command never ran.
     link.write_all(line.as_bytes()).await.map_err(|_| Outcome::ConnectFailed)?;
-    execution.written();
+    execution.record_sent();
     let n = match link.read_line().await {
         Ok(n) => n,
         Err(e) if e.kind() == io::ErrorKind::InvalidData => {
@@ -103,7 +103,7 @@
 
 /// Probes an instance on a connection of its own and reports the outcome to the broker.
 pub async fn probe(broker: Rc<Broker>, host: HostId, address: SocketAddr) {
-    let Some(_guard) = broker.descriptors(1) else { return };
+    let Some(_guard) = broker.reserve_descriptors(1) else { return };
     let answered = async {
         let mut link = connect(&broker, address).await?;
         link.write_all(b"PING\r\n").await.map_err(|_| Outcome::ConnectFailed)?;
@@ -116,9 +116,9 @@
     // The decision module has its own time limit for probes; this one only ends probes that it has given up.
     let result = tokio::select! {
         result = answered => result,
-        () = broker.after(PROBE_TIMEOUT) => Err(Outcome::Timeout),
+        () = broker.sleep(PROBE_TIMEOUT) => Err(Outcome::Timeout),
     };
-    broker.probed(host, result.err().unwrap_or(Outcome::Ok), None);
+    broker.record_probe(host, result.err().unwrap_or(Outcome::Ok), None);
 }
 
 /// Time limit of a probe, in microseconds; longer than the decision module waits for one.
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -103,13 +103,13 @@
     /// Accepts the next connection. While this process is ending and the socket is shared, only connections that no
     /// other process accepts are taken.
     pub async fn accept(&self, broker: &Rc<Broker>) -> io::Result<(TcpStream, SocketAddr)> {
-        while self.shared && broker.leaving() {
+        while self.shared && broker.is_shutting_down() {
             tokio::select! {
                 biased;
                 accepted = self.socket.accept() => return accepted,
                 () = std::future::ready(()) => {}
             }
-            broker.after(SHARED_QUEUE_INTERVAL).await;
+            broker.sleep(SHARED_QUEUE_INTERVAL).await;
         }
         self.socket.accept().await
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -11,7 +11,7 @@
 pub mod relay;
 pub mod xmpp;
 
-use crate::broker::{Broker, Order};
+use crate::broker::{Broker, NetworkRequest};
 use discovery::DiscoveryWatcher;
 use listener::Listener;
 use std::cell::{Cell, RefCell};
@@ -24,20 +24,24 @@
 use tokio::task::{spawn_local, JoinHandle};
 
 /// Carries out the broker's orders to the network, indefinitely.
-pub async fn run_orders(broker: Rc<Broker>, mut orders: UnboundedReceiver<Order>, discovery: SocketAddr) {
+pub async fn run_orders(
+    broker: Rc<Broker>,
+    mut orders: UnboundedReceiver<NetworkRequest>,
+    discovery: SocketAddr,
+) {
     let probes: RefCell<BTreeMap<u32, JoinHandle<()>>> = RefCell::default();
     let watcher = DiscoveryWatcher::new(broker.clone(), discovery);
     while let Some(order) = orders.recv().await {
         match order {
-            Order::Probe(host, address) => {
+            NetworkRequest::Probe(host, address) => {
                 // At most one probe per instance: a late answer must not count for the next probe.
                 let probe = spawn_local(links::probe(broker.clone(), host, address));
                 if let Some(previous) = probes.borrow_mut().insert(host, probe) {
                     previous.abort();
                 }
             }
-            Order::Watch(version) => watcher.watch(version),
-            Order::Discovery(address) => watcher.set_address(address),
+            NetworkRequest::Watch(version) => watcher.watch(version),
+            NetworkRequest::SetDiscoveryAddress(address) => watcher.set_address(address),
         }
     }
 }
@@ -83,7 +87,7 @@
                 if !std::mem::replace(&mut failing, true) {
                     tracing::error!("{client_kind}: cannot accept connections: {e}; trying again");
                 }
-                broker.after(ACCEPT_RETRY_DELAY).await;
+                broker.sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/src/net/platform.rs
+++ b/src/net/platform.rs
@@ -6,9 +6,12 @@
 use super::links::{self, Link};
 use super::relay;
 use crate::api::{Demand, Micros, Outcome};
-use crate::broker::figures::End;
-use crate::broker::instances::number;
-use crate::broker::{carry, carry_on, Broker, Client, Command, Dialer, Ended, Execution, Failure, Gone};
+use crate::broker::instances::instance_id;
+use crate::broker::metrics::CommandResult;
+use crate::broker::{
+    resume_connection, run_command, Broker, Client, ClientGone, Command, ConnectionEnd, Dialer, Execution,
+    Failure,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -153,7 +156,7 @@
                 _ => FirstLine::Invalid("ERR out of turn".into()),
             };
         }
-        let answer: &[u8] = if client.broker.invites() { b"PONG\r\n" } else { b"NO\r\n" };
+        let answer: &[u8] = if client.broker.passes_health_checks() { b"PONG\r\n" } else { b"NO\r\n" };
         if client.link.write_all(answer).await.is_err() {
             return FirstLine::NoRequest;
         }
@@ -191,14 +194,14 @@
     let parsed = OpenLine::parse(line).and_then(|open| Ok((open.demand(&broker)?, open)));
     let (demand, open) = parsed.map_err(|why| format!("ERR first line {why}"))?;
     // The decision module identifies calls by id: a second call under the same id would be taken for the first.
-    if broker.knows(&demand.call.0) {
-        broker.tally(demand.class).ends(End::Failed);
+    if broker.has_command(&demand.call.0) {
+        broker.count_command(demand.class).record_result(CommandResult::Failed);
         return Err("ERR id in use".into());
     }
     let dialer = LineDialer { open: &open, broker: &broker };
     match open.get("at") {
-        Some(at) => carry_on(&broker, demand, open.get("t"), number(at), client, &dialer).await,
-        None => carry(&broker, demand, open.get("t"), client, &dialer).await,
+        Some(at) => resume_connection(&broker, demand, open.get("t"), instance_id(at), client, &dialer).await,
+        None => run_command(&broker, demand, open.get("t"), client, &dialer).await,
     }
     Ok(())
 }
@@ -213,7 +216,7 @@
     type Link = Link;
 
     async fn execute(&self, execution: &Execution) -> Result<Link, Outcome> {
-        let line = || self.open.instance_line((execution.left() / 1000).max(1));
+        let line = || self.open.instance_line((execution.remaining() / 1000).max(1));
         links::start_execution(self.broker, execution, execution.address, line).await
     }
 }
@@ -230,7 +233,7 @@
         let line = format!("{line}\r\n");
         tokio::select! {
             _ = self.link.write_all(line.as_bytes()) => {}
-            () = self.broker.after(ANSWER_WRITE_TIMEOUT) => {}
+            () = self.broker.sleep(ANSWER_WRITE_TIMEOUT) => {}
         }
     }
 }
@@ -238,14 +241,14 @@
 impl Client for LineClient {
     type Link = Link;
 
-    async fn gone(&mut self) -> Gone {
+    async fn wait_gone(&mut self) -> ClientGone {
         match self.link.buffer.read_tcp(&self.link.stream, MAX_LINE_BYTES).await {
-            Ok(n) if n > 0 => Gone::OutOfTurn,
-            _ => Gone::Left,
+            Ok(n) if n > 0 => ClientGone::UnexpectedInput,
+            _ => ClientGone::Left,
         }
     }
 
-    async fn stand(&mut self, link: Link, command: &mut Command) -> Ended {
+    async fn relay(&mut self, link: Link, command: &mut Command) -> ConnectionEnd {
         relay::relay_lines(&mut self.link, link, command).await
     }
 
@@ -260,7 +263,7 @@
         match failure {
             Failure::GivenUp => self.answer("ERR not served").await,
             Failure::Deadline => self.answer("ERR not served in time").await,
-            Failure::OutOfTurn => self.answer("ERR out of turn").await,
+            Failure::UnexpectedInput => self.answer("ERR out of turn").await,
         }
     }
 }
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -5,7 +5,7 @@
 use super::idle::IdleConnections;
 use super::links::Link;
 use crate::api::Micros;
-use crate::broker::{Broker, Command, Ended, SILENT};
+use crate::broker::{Broker, Command, ConnectionEnd, SILENCE_TIMEOUT};
 use std::collections::VecDeque;
 use std::io;
 use std::rc::Rc;
@@ -99,7 +99,7 @@
     /// Times at which the client's unanswered lines were read, oldest first.
     unanswered: VecDeque<Micros>,
     /// Reason of the end that the instance's last line announced.
-    announced_end: Option<Ended>,
+    announced_end: Option<ConnectionEnd>,
 }
 
 impl LineMonitor {
@@ -111,14 +111,14 @@
                 let load =
                     words.next().and_then(|x| std::str::from_utf8(x).ok()).and_then(|x| x.parse().ok());
                 if let Some(load) = load {
-                    command.told(load);
+                    command.report_load(load);
                 }
             }
-            b"BYE" => self.announced_end = Some(Ended::Served),
-            b"MOVE" => self.announced_end = Some(Ended::Left),
+            b"BYE" => self.announced_end = Some(ConnectionEnd::Served),
+            b"MOVE" => self.announced_end = Some(ConnectionEnd::Left),
             _ => {
                 if let Some(since) = self.unanswered.pop_front() {
-                    command.heard(now.saturating_sub(since));
+                    command.report_returned_message(now.saturating_sub(since));
                 }
             }
         }
@@ -161,7 +161,7 @@
 }
 
 /// Relays lines until the connection ends; the caller closes the client's connection.
-pub async fn relay_lines(client: &mut Link, mut instance: Link, command: &mut Command) -> Ended {
+pub async fn relay_lines(client: &mut Link, mut instance: Link, command: &mut Command) -> ConnectionEnd {
     let broker = command.broker().clone();
     let (mut up, mut down, mut monitor) =
         (Direction::default(), Direction::default(), LineMonitor::default());
@@ -172,7 +172,7 @@
         up.scan(client, &mut |_| unanswered.push_back(now))
     }) {
         tracing::warn!("connection ended: {e}");
-        return Ended::Left;
+        return ConnectionEnd::Left;
     }
     // Times of the last traffic and of the last check for an unanswered line.
     let (mut last_traffic, mut last_check) = (now, now);
@@ -187,26 +187,26 @@
         // A check each second while a line is unanswered. Otherwise there is a time limit only for a client that has
         // ended its side: it may be gone, but is served for as long as its instance sends.
         let wait = match (oldest, up.ended) {
-            (Some(since), _) => {
-                broker.until((last_check.max(since) + UNANSWERED_REPORT_INTERVAL).min(since + SILENT))
-            }
-            (None, true) => broker.until(last_traffic + SILENT),
-            (None, false) => broker.until(Micros::MAX),
+            (Some(since), _) => broker.sleep_until(
+                (last_check.max(since) + UNANSWERED_REPORT_INTERVAL).min(since + SILENCE_TIMEOUT),
+            ),
+            (None, true) => broker.sleep_until(last_traffic + SILENCE_TIMEOUT),
+            (None, false) => broker.sleep_until(Micros::MAX),
         };
         tokio::select! {
             biased;
-            () = command.moved() => return send_move(&broker, client, &mut down, &mut instance).await,
+            () = command.move_requested() => return send_move(&broker, client, &mut down, &mut instance).await,
             // An error recurs when the socket is used.
             _ = sides => {}
             () = wait => {
                 last_check = broker.now();
                 match oldest {
-                    Some(since) if command.silent(last_check - since) => {
+                    Some(since) if command.report_silence(last_check - since) => {
                         tracing::info!("a connection brought nothing back for {} ms: moved", (last_check - since) / 1000);
                         return send_move(&broker, client, &mut down, &mut instance).await;
                     }
                     Some(_) => {}
-                    None => return Ended::Left,
+                    None => return ConnectionEnd::Left,
                 }
                 continue;
             }
@@ -223,7 +223,7 @@
                 tracing::warn!("client: sent {e}; connection ended");
             }
             reset_on_close(&instance);
-            return Ended::Left;
+            return ConnectionEnd::Left;
         }
         let from_instance = down.read(&mut instance, |line| monitor.instance_line(line, now, command));
         let to_instance = up.write(client, &instance.stream);
@@ -235,14 +235,22 @@
             // The client still gets the last whole lines, and then a reset.
             flush(&broker, client, &mut down, &mut instance).await;
             reset_on_close(client);
-            return if up.ended { Ended::Left } else { monitor.announced_end.unwrap_or(Ended::Broken) };
+            return if up.ended {
+                ConnectionEnd::Left
+            } else {
+                monitor.announced_end.unwrap_or(ConnectionEnd::Broken)
+            };
         }
         if sent.is_err() {
             reset_on_close(&instance);
-            return Ended::Left;
+            return ConnectionEnd::Left;
         }
         if down.end_sent {
-            return if up.ended { Ended::Left } else { monitor.announced_end.unwrap_or(Ended::Broken) };
+            return if up.ended {
+                ConnectionEnd::Left
+            } else {
+                monitor.announced_end.unwrap_or(ConnectionEnd::Broken)
+            };
         }
     }
 }
@@ -260,18 +268,23 @@
     };
     tokio::select! {
         () = written => {}
-        () = broker.after(FLUSH_TIMEOUT) => {}
+        () = broker.sleep(FLUSH_TIMEOUT) => {}
     }
 }
 
 /// Writes the remaining whole lines and `MOVE`, which asks the client to reconnect.
-async fn send_move(broker: &Rc<Broker>, client: &Link, down: &mut Direction, instance: &mut Link) -> Ended {
+async fn send_move(
+    broker: &Rc<Broker>,
+    client: &Link,
+    down: &mut Direction,
+    instance: &mut Link,
+) -> ConnectionEnd {
     flush(broker, client, down, instance).await;
     if !down.wants_write() {
         tokio::select! {
             _ = client.write_all(b"MOVE\r\n") => {}
-            () = broker.after(FLUSH_TIMEOUT) => {}
+            () = broker.sleep(FLUSH_TIMEOUT) => {}
         }
     }
-    Ended::Left
+    ConnectionEnd::Left
 }
--- a/src/net/xmpp/mod.rs
+++ b/src/net/xmpp/mod.rs
@@ -8,7 +8,9 @@
 use super::idle::{IdleConnections, IdleSlot, SlotEnd, FIRST_LINE_TIMEOUT};
 use super::links;
 use crate::api::{Demand, Micros, Outcome};
-use crate::broker::{carry, Broker, Client, Command, Dialer, Ended, Execution, Failure, Gone};
+use crate::broker::{
+    run_command, Broker, Client, ClientGone, Command, ConnectionEnd, Dialer, Execution, Failure,
+};
 use crate::config::{Grouping, XmppService, XmppSettings};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -335,7 +337,7 @@
     let dialer = LoginDialer { front, login: &login };
     let mut client = XmppClient { connection, front: front.clone() };
     let team = service.team.as_deref().unwrap_or(&service.domain);
-    carry(broker, demand, Some(team), &mut client, &dialer).await;
+    run_command(broker, demand, Some(team), &mut client, &dialer).await;
 }
 
 /// Replays a log-in to instances.
@@ -379,7 +381,7 @@
         let address = self.front.settings.instance_address(&execution.name, execution.address);
         let link = links::connect(&self.front.broker, address).await?;
         // A list update may have arrived while the connection was made: a draining instance gets nothing new.
-        if !execution.still_open() {
+        if !execution.may_send() {
             return Err(Outcome::Moot);
         }
         let mut connection = self.front.connection(link.stream);
@@ -395,11 +397,11 @@
             }
         }
         // The list may also have changed while the stream was opened; the credentials have not been sent yet.
-        if !execution.still_open() {
+        if !execution.may_send() {
             return Err(Outcome::Moot);
         }
         connection.writer.write_all(&self.login.auth).await.map_err(|_| Outcome::Reset)?;
-        execution.written();
+        execution.record_sent();
         loop {
             let (unit, answer) = connection.reader.read_unit().await.map_err(stream_end_outcome)?;
             match unit {
@@ -445,19 +447,19 @@
 impl Client for XmppClient {
     type Link = AnsweredLogin;
 
-    async fn gone(&mut self) -> Gone {
+    async fn wait_gone(&mut self) -> ClientGone {
         self.connection.reader.closed().await;
-        Gone::Left
+        ClientGone::Left
     }
 
-    async fn stand(&mut self, link: AnsweredLogin, command: &mut Command) -> Ended {
+    async fn relay(&mut self, link: AnsweredLogin, command: &mut Command) -> ConnectionEnd {
         let AnsweredLogin { connection: mut instance, answer, accepted } = link;
         if !accepted {
             let last_units = String::from_utf8_lossy(&answer).into_owned() + CLOSE;
             let broker = &self.front.broker;
             instance.finish(broker, CLOSE, 0).await;
             self.connection.finish(broker, &last_units, CLOSE_TIMEOUT).await;
-            return Ended::Served;
+            return ConnectionEnd::Served;
         }
         self.connection.reader.restart();
         self.connection.writer.push(&answer);
@@ -472,7 +474,7 @@
         let text = match failure {
             Failure::GivenUp => "no server could take this log-in",
             Failure::Deadline => "no server took this log-in in time",
-            Failure::OutOfTurn => "spoke out of turn",
+            Failure::UnexpectedInput => "spoke out of turn",
         };
         self.connection
             .finish(&self.front.broker, &stream_error_xml("remote-connection-failed", text), CLOSE_TIMEOUT)
--- a/src/net/xmpp/relay.rs
+++ b/src/net/xmpp/relay.rs
@@ -2,7 +2,7 @@
 
 use super::stream::{stream_error_xml, Reader, StreamEnd, Unit, Writer, XmppConnection, CLOSE, STREAMS};
 use super::{XmppFront, CLOSE_TIMEOUT};
-use crate::broker::{Broker, Command, Ended};
+use crate::broker::{Broker, Command, ConnectionEnd};
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
 
@@ -64,7 +64,7 @@
     client: &mut XmppConnection,
     instance: &mut XmppConnection,
     command: &mut Command,
-) -> Ended {
+) -> ConnectionEnd {
     let broker = command.broker().clone();
     let stanza_timeout = front.settings.finish.0;
     // A stream error is meaningful only inside a stream, so the client must have been sent the header of its new
@@ -77,13 +77,13 @@
             Unit::Stanza(element) if element.is(STREAMS, "error") => {
                 let is_redirect =
                     element.has_descendant("see-other-host") || element.has_descendant("system-shutdown");
-                announced_end = Some(if is_redirect { Ended::Left } else { Ended::Broken });
+                announced_end = Some(if is_redirect { ConnectionEnd::Left } else { ConnectionEnd::Broken });
             }
             _ => {}
         });
         tokio::select! {
             biased;
-            () = command.moved() => (false, None),
+            () = command.move_requested() => (false, None),
             end = up => (true, Some(end)),
             end = down => (false, Some(end)),
         }
@@ -100,7 +100,7 @@
         tokio::select! {
             () = completed => {}
             // Only whole stanzas are queued, but the write of one may be stuck: nothing may follow it.
-            () = broker.after(stanza_timeout) => {}
+            () = broker.sleep(stanza_timeout) => {}
         }
         let client_error = match &front.settings.other_host {
             Some(host) => {
@@ -118,7 +118,7 @@
             &stream_error_xml("system-shutdown", ""),
         )
         .await;
-        return Ended::Left;
+        return ConnectionEnd::Left;
     };
     match (from_client, end) {
         // One side closed the stream; the other has some time to close it too.
@@ -126,19 +126,19 @@
             let answered = relay_units(&mut instance.reader, &mut client.writer, |_| ());
             tokio::select! {
                 _ = answered => {}
-                () = broker.after(stanza_timeout) => {}
+                () = broker.sleep(stanza_timeout) => {}
             }
             finish_both(&broker, client, "", instance, "").await;
-            Ended::Left
+            ConnectionEnd::Left
         }
         (false, DirectionEnd::Closed) => {
             let answered = relay_units(&mut client.reader, &mut instance.writer, |_| ());
             tokio::select! {
                 _ = answered => {}
-                () = broker.after(CLOSE_TIMEOUT) => {}
+                () = broker.sleep(CLOSE_TIMEOUT) => {}
             }
             finish_both(&broker, client, "", instance, "").await;
-            announced_end.unwrap_or(Ended::Served)
+            announced_end.unwrap_or(ConnectionEnd::Served)
         }
         (true, DirectionEnd::Sender(StreamEnd::Violation(condition))) => {
             tracing::warn!("xmpp client: {condition}; connection ended");
@@ -150,11 +150,11 @@
                 CLOSE,
             )
             .await;
-            Ended::Left
+            ConnectionEnd::Left
         }
         (true, DirectionEnd::Sender(StreamEnd::Disconnected)) | (false, DirectionEnd::Receiver) => {
             finish_both(&broker, client, "", instance, CLOSE).await;
-            Ended::Left
+            ConnectionEnd::Left
         }
         (from_client, end) => {
             let to_instance = match (from_client, end) {
@@ -172,7 +172,7 @@
                 &to_instance,
             )
             .await;
-            announced_end.unwrap_or(Ended::Broken)
+            announced_end.unwrap_or(ConnectionEnd::Broken)
         }
     }
 }
--- a/src/net/xmpp/stream.rs
+++ b/src/net/xmpp/stream.rs
@@ -221,7 +221,7 @@
                     _ => return Err(StreamEnd::Disconnected),
                 },
                 // A peer that stalls within a stanza must not hold its connection indefinitely.
-                () = self.broker.until(deadline) => return Err(StreamEnd::Violation("connection-timeout")),
+                () = self.broker.sleep_until(deadline) => return Err(StreamEnd::Violation("connection-timeout")),
             }
         }
     }
@@ -337,7 +337,7 @@
         };
         tokio::select! {
             () = finished => {}
-            () = broker.after(timeout) => {}
+            () = broker.sleep(timeout) => {}
         }
     }
 }
