--- a/src/broker/load_history.rs
+++ b/src/broker/load_history.rs
@@ -1,7 +1,7 @@
 //! Loads of recent clients, by team and client key. A client that reconnects after a move or a failure has about the
 //! same load as before, but its instance may not report it for seconds.
 //!
-//! Guaranteed: bounded memory, and no load older than [`RETENTION`].
+//! Guaranteed: bounded memory, and no load older than two minutes (`RETENTION`).
 
 use crate::api::Micros;
 use std::collections::{BTreeMap, VecDeque};
