--- a/src/broker/core.rs
+++ b/src/broker/core.rs
@@ -460,8 +460,8 @@
         self.rebalancer = settings.map(|settings| Rebalancer::new(now, settings, classes, *balancers));
         if let Some(rebalance) = &mut self.rebalancer {
             // The age of established connections is unknown: they count as new.
-            let standing = self.requests.iter().filter(|(_, record)| record.established);
-            standing.for_each(|(call, _)| rebalance.connection_established(now, call));
+            let established = self.requests.iter().filter(|(_, record)| record.established);
+            established.for_each(|(call, _)| rebalance.connection_established(now, call));
         }
     }
 
@@ -475,9 +475,9 @@
     pub fn follow_plan(&mut self, now: Micros, plan: Option<&Plan>) -> (Vec<Action>, Option<Option<u64>>) {
         let Some(zones) = &mut self.zone_router else { return (Vec::new(), None) };
         let changed = zones.receive_plan(now, plan);
-        let standing = self.requests.iter().filter(|(_, record)| record.established);
+        let established = self.requests.iter().filter(|(_, record)| record.established);
         let moves =
-            zones.next_moves(now, standing.map(|(call, record)| (record.identity(call), record.host)));
+            zones.next_moves(now, established.map(|(call, record)| (record.identity(call), record.host)));
         (moves.into_iter().map(|call| Action::Move { call }).collect(), changed)
     }
 
