--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,15 +1,16 @@
-//! The laboratory of oakdeal. Data flows down this list; nothing below knows what stands above it.
+//! The laboratory of oakdeal: a simulator and a test bench for fleets of balancers. Data flows down this list; no
+//! module depends on one that is listed after it.
 //!
-//! - [`scenario`]: what is rehearsed, as TOML, and the day that a seed draws from it.
-//! - [`model`]: session servers, the network's delays and discovery, without I/O and clock.
-//! - [`score`]: what a run was worth, whether the rules were kept, and the record of it.
-//! - [`virt`]: plays a day in simulated time against the decision code; [`live`] plays it on loopback sockets
+//! - [`scenario`]: scenario files in TOML, and the workload and faults that a seed generates from one.
+//! - [`model`]: models of session servers, network delays and discovery, without I/O or a clock.
+//! - [`score`]: the record of a run, the score computed from it, and the check of the service rules.
+//! - [`virt`]: runs a scenario in simulated time against the decision code; [`live`] runs it on loopback sockets
 //!   against real processes.
-//! - [`fleet`]: many real processes that decide together, a relay on every link, faults, witnesses, a checker.
-//! - [`ledger`]: where the worth of a day went, from the debug logs of real balancers.
-//! - [`report`]: records as one HTML file; [`cli`]: the sub-commands of `oakdeal-lab`.
+//! - [`fleet`]: runs many coordinating processes with a relay on every link, injects faults and checks the result.
+//! - [`ledger`]: attributes the worth of a run to causes, from the debug logs of real balancers.
+//! - [`report`]: renders records as one HTML file; [`cli`]: the sub-commands of `oakdeal-lab`.
 //!
-//! Nothing here is needed to build or to run the balancer.
+//! The balancer neither builds against this crate nor needs it to run.
 
 pub mod cli;
 pub mod fleet;
--- a/lab/src/live/servers.rs
+++ b/lab/src/live/servers.rs
@@ -2,7 +2,7 @@
 
 use super::site::Site;
 use super::wire::{Speaks, Wire};
-use crate::model::server::{Came, Job, Server};
+use crate::model::server::{Arrival, Job, Server};
 use crate::scenario::plan::{draw, Plan, CHANGE, SWING};
 use crate::scenario::Scenario;
 use crate::score::record::{Attempt, What};
@@ -142,11 +142,11 @@
             let next = {
                 let now = site.now();
                 let mut h = self.hosts[s].borrow_mut();
-                let ended = h.model.ended(now);
+                let ended = h.model.take_completed_setups(now);
                 if !h.silent {
                     ended.iter().filter_map(|job| h.peers.get(job)).for_each(|p| drop(p.to.send(Word::Up)));
                 }
-                h.model.next()
+                h.model.next_setup_completion()
             };
             tokio::select! {
                 () = site.until(next.unwrap_or(site.now() + 1_000_000)) => {}
@@ -197,10 +197,10 @@
                 () if h.silent => None,
                 () if h.draining => Some(Err(Attempt::Full)),
                 () if chance < h.errors => Some(Err(Attempt::Error)),
-                () => Some(match h.model.came(now, job, p.load, p.cost) {
-                    Came::Taken => Ok(()),
-                    Came::Full => Err(Attempt::Full),
-                    Came::Fell => {
+                () => Some(match h.model.receive_request(now, job, p.load, p.cost) {
+                    Arrival::Accepted => Ok(()),
+                    Arrival::Full => Err(Attempt::Full),
+                    Arrival::Overloaded => {
                         h.fallen = true;
                         Err(Attempt::Reset)
                     }
@@ -243,13 +243,13 @@
         }
         {
             let mut h = self.hosts[s].borrow_mut();
-            h.model.stand(site.now(), job, p.load, p.group);
+            h.model.establish(site.now(), job, p.load, p.group);
             if let Some(peer) = h.peers.get_mut(&job) {
                 peer.stands = true;
             }
         }
         site.note(What::Done { node, call: call.clone(), how: Attempt::Up });
-        let told = self.hosts[s].borrow().model.told(p.load);
+        let told = self.hosts[s].borrow().model.reported_load(p.load);
         let mut draws = p.seed;
         let mut change = Box::pin(tokio::time::sleep(wait(&mut draws)));
         let mut ok = wire.up(&format!("{}-{s}", job.1)).await && wire.load(told).await;
@@ -274,8 +274,8 @@
                     let load = p.load * (SWING.0 + (SWING.1 - SWING.0) * draw(&mut draws));
                     let told = {
                         let mut h = self.hosts[s].borrow_mut();
-                        h.model.change(site.now(), job, load);
-                        h.model.told(load)
+                        h.model.set_load(site.now(), job, load);
+                        h.model.reported_load(load)
                     };
                     if !silent {
                         ok = wire.load(told).await;
@@ -292,7 +292,7 @@
     fn gone(&self, site: &Site, s: usize, job: Job) {
         let mut h = self.hosts[s].borrow_mut();
         h.peers.remove(&job);
-        h.model.leave(site.now(), job);
+        h.model.remove(site.now(), job);
         h.wake.notify_one();
     }
 
@@ -302,7 +302,7 @@
         h.up = false;
         h.accepting.drain(..).for_each(|task| task.abort());
         h.peers.values().for_each(|p| drop(p.to.send(Word::Die)));
-        h.model.lose(site.now());
+        h.model.drop_all(site.now());
     }
 
     /// Its process is back, cold; not if it fell over.
@@ -373,22 +373,22 @@
     pub fn look(&self, now: Micros, mut show: impl FnMut(usize, u32, f64)) {
         for h in self.hosts.iter() {
             let mut h = h.borrow_mut();
-            h.model.pass(now);
+            h.model.advance(now);
             if h.silent || !h.up {
                 continue;
             }
             let mut cells: BTreeMap<usize, u32> = BTreeMap::new();
             h.peers.values().filter(|p| p.stands).for_each(|p| *cells.entry(p.cell).or_default() += 1);
             for (cell, n) in cells {
-                show(cell, n, h.model.within(now, self.aims[cell % self.aims.len()]));
+                show(cell, n, h.model.share_within(now, self.aims[cell % self.aims.len()]));
             }
         }
     }
 
     /// Loads over what each can do, and connections there.
     pub fn loads(&self, now: Micros) -> (Vec<f32>, Vec<u32>) {
-        let load = |h: &Host| if h.up { h.model.load(now) as f32 } else { 0.0 };
-        self.hosts.iter().map(|h| (load(&h.borrow()), h.borrow().model.held() as u32)).unzip()
+        let load = |h: &Host| if h.up { h.model.utilization(now) as f32 } else { 0.0 };
+        self.hosts.iter().map(|h| (load(&h.borrow()), h.borrow().model.connection_count() as u32)).unzip()
     }
 
     /// Each second: one connection of each balancer is told how long messages take, while that is long.
@@ -400,7 +400,7 @@
             if h.silent || !h.up {
                 continue;
             }
-            let (delay, mut told) = (h.model.message(now), std::mem::take(&mut h.slow));
+            let (delay, mut told) = (h.model.mean_message_time(now), std::mem::take(&mut h.slow));
             let slow = delay > shortest as f64 / 3.0;
             let mut first: BTreeMap<usize, &Peer> = BTreeMap::new();
             h.peers.values().filter(|p| p.stands).for_each(|p| {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `oakdeal-lab`: rehearsals, comparisons and reports.
+//! Entry point of `oakdeal-lab`, which runs scenarios, compares builds and writes reports.
 
 use std::process::ExitCode;
 
--- a/lab/src/model/mod.rs
+++ b/lab/src/model/mod.rs
@@ -1,12 +1,15 @@
-//! The model of what stands round the balancers: pure, time as an argument, nothing drawn by chance here.
+//! Models of the systems around the balancers. They are deterministic: time is an argument, and nothing here draws
+//! random numbers.
 //!
-//! - [`server`]: a session server: set-ups as processor sharing, connections as a flow of work, warmth, falling.
-//! - [`setups`]: the processor-sharing queue itself.
+//! - [`server`]: a session server: set-ups under processor sharing, connections as a continuous load, warm-up, and
+//!   failure by overload.
+//! - [`setups`]: the processor-sharing queue.
 //! - [`network`]: delays between zones.
-//! - [`discovery`]: who is told what, and when.
+//! - [`discovery`]: the instance list and the timing of its calls.
 //!
-//! Sources: processor sharing and its mean (Kleinrock, *Queueing Systems* II, 4.4); the figures of machines,
-//! classes, warmth and falling over are the operators' (their brief). Left out: memory, packet loss, TLS.
+//! Processor sharing and its mean response time follow Kleinrock, *Queueing Systems* II, 4.4. The parameters of
+//! machines, classes, warm-up and overload failure come from the operators' brief. Memory, packet loss and TLS are
+//! not modelled.
 
 pub mod discovery;
 pub mod network;
--- a/lab/src/model/network.rs
+++ b/lab/src/model/network.rs
@@ -1,27 +1,27 @@
-//! Delays between zones, one way. What is cut arrives nowhere.
+//! One-way network delays between zones. Severed links are handled by the simulation, not here.
 
 use crate::scenario::Fleet;
 use oakdeal::Micros;
 
-/// The network.
+/// One-way delays of the fleet's network.
 #[derive(Clone, Debug)]
 pub struct Network {
-    between: Micros,
-    within: Micros,
+    between_zones: Micros,
+    within_zone: Micros,
 }
 
 impl Network {
-    /// The fleet's.
+    /// Returns the delays that the scenario's fleet states.
     pub fn new(fleet: &Fleet) -> Network {
-        Network { between: fleet.between.0, within: fleet.within.0 }
+        Network { between_zones: fleet.between.0, within_zone: fleet.within.0 }
     }
 
-    /// One way from a zone to another.
-    pub fn way(&self, from: usize, to: usize) -> Micros {
+    /// Returns the one-way delay from one zone to another.
+    pub fn one_way_delay(&self, from: usize, to: usize) -> Micros {
         if from == to {
-            self.within
+            self.within_zone
         } else {
-            self.between
+            self.between_zones
         }
     }
 }
--- a/lab/src/model/setups.rs
+++ b/lab/src/model/setups.rs
@@ -1,134 +1,142 @@
-//! Jobs that share a processor: each gets the same part of what there is, and no more than one core. Exact, in
-//! logarithmic time a job: what a job has been served is the same for all, so a job ends when that has grown by
-//! its work (the virtual time of fair queueing: Demers, Keshav and Shenker, 1989).
+//! A processor-sharing queue: all jobs get an equal share of the available rate, capped at one core for each job.
+//! The result is exact and takes logarithmic time for each job: the service attained since the start is the same for
+//! all jobs, so a job completes when that value has grown by its work (the virtual time of fair queueing: Demers,
+//! Keshav and Shenker, 1989).
 
 use oakdeal::Micros;
 use std::collections::BTreeMap;
 
-/// A number as a key: jobs end in the order of their work, then of their coming.
+/// Lower bound of both service rates, in core-microseconds per microsecond; keeps completion times finite.
+const MIN_RATE: f64 = 1e-9;
+/// Upper bound of the predicted time to a completion, in microseconds.
+const MAX_SPAN: f64 = 1e15;
+/// Time by which a job counts as completed early, in microseconds; it absorbs rounding errors.
+const COMPLETION_TOLERANCE: f64 = 1e-6;
+
+/// Attained service as a totally ordered key: jobs complete in the order of this value, then in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Served(f64);
+struct AttainedService(f64);
 
-impl Eq for Served {}
+impl Eq for AttainedService {}
 
-impl PartialOrd for Served {
+impl PartialOrd for AttainedService {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Served {
+impl Ord for AttainedService {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-/// The queue. `J` is what a job is known by.
+/// A processor-sharing queue of jobs; `J` identifies a job.
 #[derive(Clone, Debug)]
-pub struct Setups<J> {
-    jobs: BTreeMap<(Served, u64), J>,
-    ends: BTreeMap<J, (Served, u64)>,
-    served: f64,
-    at: Micros,
-    last: u64,
-    /// Work a microsecond: in all, and for one job at most, in core-microseconds of speed 1.
+pub struct SharedProcessor<J> {
+    jobs: BTreeMap<(AttainedService, u64), J>,
+    keys: BTreeMap<J, (AttainedService, u64)>,
+    attained: f64,
+    updated_at: Micros,
+    last_number: u64,
+    /// Service rate in total and its maximum for one job, in core-microseconds (at speed 1) per microsecond.
     rate: (f64, f64),
-    /// All work that was done.
-    done: f64,
+    /// Work done since the start, in core-microseconds.
+    work_done: f64,
 }
 
-impl<J: Ord + Clone> Setups<J> {
-    /// An empty one.
-    pub fn new(now: Micros) -> Setups<J> {
-        Setups {
+impl<J: Ord + Clone> SharedProcessor<J> {
+    /// Returns an empty queue.
+    pub fn new(now: Micros) -> SharedProcessor<J> {
+        SharedProcessor {
             jobs: BTreeMap::new(),
-            ends: BTreeMap::new(),
-            served: 0.0,
-            at: now,
-            last: 0,
+            keys: BTreeMap::new(),
+            attained: 0.0,
+            updated_at: now,
+            last_number: 0,
             rate: (1.0, 1.0),
-            done: 0.0,
+            work_done: 0.0,
         }
     }
 
-    fn each(&self) -> f64 {
+    fn rate_per_job(&self) -> f64 {
         (self.rate.0 / self.jobs.len().max(1) as f64).min(self.rate.1)
     }
 
-    /// Time passes.
-    pub fn pass(&mut self, now: Micros) {
-        let span = now.saturating_sub(self.at) as f64;
+    /// Serves the jobs until `now`.
+    pub fn advance(&mut self, now: Micros) {
+        let span = now.saturating_sub(self.updated_at) as f64;
         if !self.jobs.is_empty() {
-            self.served += self.each() * span;
-            self.done += self.each() * self.jobs.len() as f64 * span;
+            self.attained += self.rate_per_job() * span;
+            self.work_done += self.rate_per_job() * self.jobs.len() as f64 * span;
         }
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// From now on there is so much, and so much for one job at most.
-    pub fn rate(&mut self, now: Micros, all: f64, one: f64) {
-        self.pass(now);
-        self.rate = (all.max(1e-9), one.max(1e-9));
+    /// Sets the total service rate from `now` on, and its maximum for one job.
+    pub fn set_rate(&mut self, now: Micros, total: f64, per_job: f64) {
+        self.advance(now);
+        self.rate = (total.max(MIN_RATE), per_job.max(MIN_RATE));
     }
 
-    /// A job comes with so much work, in core-microseconds.
+    /// Adds a job whose work is given in core-microseconds.
     pub fn add(&mut self, now: Micros, job: J, work: f64) {
-        self.pass(now);
-        self.last += 1;
-        let key = (Served(self.served + work), self.last);
+        self.advance(now);
+        self.last_number += 1;
+        let key = (AttainedService(self.attained + work), self.last_number);
         self.jobs.insert(key, job.clone());
-        self.ends.insert(job, key);
+        self.keys.insert(job, key);
     }
 
-    /// A job is given up; whether it was there.
+    /// Removes a job and returns whether it was in the queue.
     pub fn remove(&mut self, now: Micros, job: &J) -> bool {
-        self.pass(now);
-        self.ends.remove(job).map(|key| self.jobs.remove(&key)).is_some()
+        self.advance(now);
+        self.keys.remove(job).map(|key| self.jobs.remove(&key)).is_some()
     }
 
-    /// When the next job ends if nothing changes.
-    pub fn next(&self) -> Option<Micros> {
-        let (&(Served(end), _), _) = self.jobs.first_key_value()?;
-        let span = ((end - self.served).max(0.0) / self.each()).ceil();
-        Some(self.at.saturating_add(span.min(1e15) as Micros))
+    /// Returns when the next job completes if nothing changes.
+    pub fn next_completion(&self) -> Option<Micros> {
+        let (&(AttainedService(end), _), _) = self.jobs.first_key_value()?;
+        let span = ((end - self.attained).max(0.0) / self.rate_per_job()).ceil();
+        Some(self.updated_at.saturating_add(span.min(MAX_SPAN) as Micros))
     }
 
-    /// The jobs that have ended by now.
-    pub fn ended(&mut self, now: Micros) -> Vec<J> {
-        self.pass(now);
-        let mut all = Vec::new();
+    /// Removes and returns the jobs that have completed by `now`.
+    pub fn take_completed(&mut self, now: Micros) -> Vec<J> {
+        self.advance(now);
+        let mut completed = Vec::new();
         while let Some((&key, _)) = self.jobs.first_key_value() {
-            // Times are whole microseconds: within a part of one it has ended.
-            if key.0 .0 > self.served + 1e-6 * self.each().max(1.0) {
+            // Times are whole microseconds, so a job within a small part of one counts as completed.
+            if key.0 .0 > self.attained + COMPLETION_TOLERANCE * self.rate_per_job().max(1.0) {
                 break;
             }
             if let Some((_, job)) = self.jobs.pop_first() {
-                self.ends.remove(&job);
-                all.push(job);
+                self.keys.remove(&job);
+                completed.push(job);
             }
         }
-        all
+        completed
     }
 
-    /// How many there are.
+    /// Returns the number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// All work that was done since it began.
-    pub fn done(&self) -> f64 {
-        self.done
+    /// Returns the work done since the start, in core-microseconds.
+    pub fn work_done(&self) -> f64 {
+        self.work_done
     }
 
-    /// Everything is given up; what there was.
+    /// Removes and returns all jobs.
     pub fn clear(&mut self, now: Micros) -> Vec<J> {
-        self.pass(now);
-        self.ends.clear();
+        self.advance(now);
+        self.keys.clear();
         std::mem::take(&mut self.jobs).into_values().collect()
     }
 }
--- a/lab/src/virt/engine.rs
+++ b/lab/src/virt/engine.rs
@@ -407,7 +407,7 @@
     }
 
     pub(super) fn way(&self, node: usize, server: usize) -> Micros {
-        self.network.way(self.nodes[node].zone, self.plan.servers[server].zone)
+        self.network.one_way_delay(self.nodes[node].zone, self.plan.servers[server].zone)
     }
 
     /// A balancer begins with the list as it last had it, which may be old.
@@ -504,7 +504,7 @@
             }
             Action::Watch => {
                 let epoch = self.nodes[n].epoch;
-                let called = self.discovery.call(self.now);
+                let called = self.discovery.enqueue_call(self.now);
                 self.note(What::Called { node: n, answered: called.is_ok() });
                 match called {
                     Ok(at) => self.at(at, Ev::News(n, epoch, ListKind::Full, None)),
@@ -564,7 +564,7 @@
         let cell = self.cell(c);
         let (now, node) = (self.now, self.clients[c as usize].node);
         let h = &mut self.hosts[server];
-        h.model.leave(now, job);
+        h.model.remove(now, job);
         h.standing[cell] = h.standing[cell].saturating_sub(1);
         h.by_node[node] = h.by_node[node].saturating_sub(1);
         self.look(server);
@@ -591,7 +591,7 @@
     pub(super) fn look(&mut self, server: usize) {
         let h = &mut self.hosts[server];
         h.stamp += 1;
-        let (next, stamp) = (h.model.next(), h.stamp);
+        let (next, stamp) = (h.model.next_setup_completion(), h.stamp);
         if let Some(at) = next {
             self.at(at, Ev::Served(server, stamp));
         }
--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -65,13 +65,13 @@
 
     /// Discovery's list changes; each balancer is told in its own time.
     pub(super) fn list(&mut self, server: usize, state: HostState, ready_at: Option<Micros>) {
-        let entry = self.discovery.change(server, state, ready_at);
-        let at = self.discovery.up_at(self.now);
+        let entry = self.discovery.update_entry(server, state, ready_at);
+        let at = self.discovery.earliest_notification(self.now);
         self.at(at + NOTIFIED_AFTER, Ev::Notified(Change { server, state, at }));
         let (low, high) = self.scenario.fleet.told_after;
         for n in 0..self.nodes.len() {
             let lag = self.lag.random_range(low.0..=high.0.max(low.0));
-            let (at, epoch) = (self.discovery.up_at(self.now) + lag, self.nodes[n].epoch);
+            let (at, epoch) = (self.discovery.earliest_notification(self.now) + lag, self.nodes[n].epoch);
             self.at(
                 at,
                 Ev::News(n, epoch, ListKind::Changes, Some(Box::new((server, state, entry.ready_at)))),
@@ -81,7 +81,8 @@
 
     /// A change counts as notified now, or so long after discovery's return if it was down meanwhile.
     pub(super) fn notified(&mut self, change: Change) {
-        let counts_at = self.discovery.up_at(change.at).max(self.discovery.last_return()) + NOTIFIED_AFTER;
+        let counts_at =
+            self.discovery.earliest_notification(change.at).max(self.discovery.outage_end()) + NOTIFIED_AFTER;
         if self.now < counts_at {
             return self.at(counts_at, Ev::Notified(change));
         }
@@ -94,7 +95,7 @@
         let now = self.now;
         let h = &mut self.hosts[server];
         h.up = false;
-        let (setups, held) = h.model.lose(now);
+        let (setups, held) = h.model.drop_all(now);
         h.stamp += 1;
         h.standing.iter_mut().for_each(|n| *n = 0);
         h.by_node.iter_mut().for_each(|n| *n = 0);
@@ -174,7 +175,7 @@
                 }
             }
             Kind::Discovery => {
-                self.discovery.down(strike.until);
+                self.discovery.set_down_until(strike.until);
                 for n in 0..self.nodes.len() {
                     let epoch = self.nodes[n].epoch;
                     self.at(now + 1_000, Ev::News(n, epoch, ListKind::Failed, None));
--- a/lab/src/virt/requests.rs
+++ b/lab/src/virt/requests.rs
@@ -2,7 +2,7 @@
 
 use super::decider::AHEAD;
 use super::engine::{host_id, Ev, Phase, World, CONNECT};
-use crate::model::server::{Came, Job};
+use crate::model::server::{Arrival, Job};
 use crate::scenario::plan::{CHANGE, SWING};
 use crate::score::record::{Attempt, What};
 use oakdeal::broker::SILENT;
@@ -48,7 +48,7 @@
         let demand = Demand {
             key: Some(format!("k{c}").as_str().into()),
             group: Some(format!("g{group}").as_str().into()),
-            hint: Some(self.hosts[0].model.told(load)),
+            hint: Some(self.hosts[0].model.reported_load(load)),
             repeat: failed > 0,
             returned: again,
             ..Demand::new(&call.0, class, wait)
@@ -88,10 +88,10 @@
             () if h.silent.is_some() => return,
             () if h.draining => Attempt::Full,
             () if chance < h.errors => Attempt::Error,
-            () => match h.model.came(now, job, load, cost) {
-                Came::Taken => return self.look(server),
-                Came::Full => Attempt::Full,
-                Came::Fell => {
+            () => match h.model.receive_request(now, job, load, cost) {
+                Arrival::Accepted => return self.look(server),
+                Arrival::Full => Attempt::Full,
+                Arrival::Overloaded => {
                     h.fallen = true;
                     self.note(What::Fell { server });
                     self.die(server);
@@ -108,14 +108,14 @@
             return;
         }
         let now = self.now;
-        for job in self.hosts[server].model.ended(now) {
+        for job in self.hosts[server].model.take_completed_setups(now) {
             if !self.out(job) || self.hosts[server].silent.is_some() {
                 continue;
             }
             let (cell, node) = (self.cell(job.0), self.clients[job.0 as usize].node);
             let (load, group) = (self.clients[job.0 as usize].load, self.plan.clients[job.0 as usize].group);
             let h = &mut self.hosts[server];
-            h.model.stand(now, job, load, group);
+            h.model.establish(now, job, load, group);
             h.standing[cell] += 1;
             h.by_node[node] += 1;
             let way = self.way(node, server);
@@ -138,7 +138,7 @@
             (client.phase, client.failed) = (Phase::Stands, 0);
             let (load, elapsed) = (client.load, self.now - client.sent_at);
             self.tell(n, Event::Opened { call: call.clone(), host: host_id(server), elapsed });
-            let load = self.hosts[server].model.told(load);
+            let load = self.hosts[server].model.reported_load(load);
             self.tell(n, Event::LoadNote { call, load });
             let wait = self.between(c, (0.0, 2.0 * CHANGE));
             self.at(self.now + wait, Ev::Change((c, serial)));
@@ -170,9 +170,9 @@
     /// An attempt is given up: its server drops it, also one that was set up and whose answer is on its way.
     pub(super) fn give_back(&mut self, job: Job) {
         let server = self.clients[job.0 as usize].server;
-        let (now, before) = (self.now, self.hosts[server].model.held());
-        self.hosts[server].model.leave(now, job);
-        if self.hosts[server].model.held() < before {
+        let (now, before) = (self.now, self.hosts[server].model.connection_count());
+        self.hosts[server].model.remove(now, job);
+        if self.hosts[server].model.connection_count() < before {
             let (cell, node) = (self.cell(job.0), self.clients[job.0 as usize].node);
             let h = &mut self.hosts[server];
             h.standing[cell] = h.standing[cell].saturating_sub(1);
@@ -248,9 +248,9 @@
         self.clients[c as usize].load = load;
         let now = self.now;
         let h = &mut self.hosts[server];
-        h.model.change(now, job, load);
+        h.model.set_load(now, job, load);
         if h.silent.is_none() {
-            let load = h.model.told(load);
+            let load = h.model.reported_load(load);
             let call = self.call(c);
             self.tell(n, Event::LoadNote { call, load });
         }
--- a/lab/src/virt/seconds.rs
+++ b/lab/src/virt/seconds.rs
@@ -13,12 +13,12 @@
             self.asked[cell] += f64::from(n) * self.scenario.class[cell % classes].worth * part;
         }
         for h in &mut self.hosts {
-            h.model.pass(now);
+            h.model.advance(now);
             if h.silent.is_some() || !h.up {
                 continue;
             }
             for class in 0..classes {
-                let within = h.model.within(now, self.scenario.class[class].message.0);
+                let within = h.model.share_within(now, self.scenario.class[class].message.0);
                 for cell in (class..h.standing.len()).step_by(classes) {
                     let worth = self.scenario.class[class].worth * part;
                     self.served[cell] += f64::from(h.standing[cell]) * worth * within;
@@ -38,7 +38,7 @@
         let (now, classes) = (self.now, self.scenario.class.len());
         let shortest = self.scenario.class.iter().map(|c| c.message.0).min().unwrap_or(0);
         for server in 0..self.hosts.len() {
-            let message = self.hosts[server].model.message(now) as Micros;
+            let message = self.hosts[server].model.mean_message_time(now) as Micros;
             let silent = self.hosts[server].silent.map(|since| now - since);
             for n in 0..self.nodes.len() {
                 let h = &mut self.hosts[server];
@@ -64,8 +64,9 @@
         if now <= begin {
             return;
         }
-        let loads = self.hosts.iter().map(|h| if h.up { h.model.load(now) as f32 } else { 0.0 }).collect();
-        let held = self.hosts.iter().map(|h| h.model.held() as u32).collect();
+        let loads =
+            self.hosts.iter().map(|h| if h.up { h.model.utilization(now) as f32 } else { 0.0 }).collect();
+        let held = self.hosts.iter().map(|h| h.model.connection_count() as u32).collect();
         self.note(What::second(&asked, &served, classes, loads, held));
     }
 }
--- a/lab/tests/lab.rs
+++ b/lab/tests/lab.rs
@@ -4,8 +4,8 @@
 use oakdeal::{Action, Demand, Event, HostState, ListKind, Micros};
 use oakdeal_lab::cli::run;
 use oakdeal_lab::ledger;
-use oakdeal_lab::model::server::{Came, Server};
-use oakdeal_lab::model::setups::Setups;
+use oakdeal_lab::model::server::{Arrival, Server};
+use oakdeal_lab::model::setups::SharedProcessor;
 use oakdeal_lab::report::fleet::Counts;
 use oakdeal_lab::scenario::plan::{stream, Machine, Plan};
 use oakdeal_lab::scenario::{library, Fleet, Scenario};
@@ -190,13 +190,13 @@
 fn a_server_that_shares_its_processor_has_the_mean_that_theory_knows() {
     for load in [0.3, 0.6, 0.8] {
         let mut rng = stream(11, "queue");
-        let (mut queue, mut came) = (Setups::new(0), BTreeMap::new());
-        queue.rate(0, 1.0, 1.0);
+        let (mut queue, mut came) = (SharedProcessor::new(0), BTreeMap::new());
+        queue.set_rate(0, 1.0, 1.0);
         let (work, mut now, mut next, mut sum, mut n) = (10_000.0, 0u64, 0u64, 0u128, 0u64);
         let mut id = 0u64;
         while n < 400_000 {
-            now = queue.next().map_or(next, |end| end.min(next));
-            for job in queue.ended(now) {
+            now = queue.next_completion().map_or(next, |end| end.min(next));
+            for job in queue.take_completed(now) {
                 let at: u64 = came.remove(&job).unwrap();
                 (sum, n) = (sum + u128::from(now - at), n + 1);
             }
@@ -229,14 +229,14 @@
     // may bring 6 more.
     let mut fell = None;
     for i in 0..20 {
-        if server.came(1_100_000 + i * 10_000, (i as u32, 1), 1.0, 1.0) == Came::Fell {
+        if server.receive_request(1_100_000 + i * 10_000, (i as u32, 1), 1.0, 1.0) == Arrival::Overloaded {
             fell = fell.or(Some(i));
         }
     }
     assert_eq!(fell, Some(7));
     let mut warm = Server::new(Machine { zone: 0, cores: 2.0, speed: 1.0 }, &fleet, 1.0);
     assert!(
-        (0..30).all(|i| warm.came(i, (i as u32, 1), 1.0, 1.0) == Came::Taken),
+        (0..30).all(|i| warm.receive_request(i, (i as u32, 1), 1.0, 1.0) == Arrival::Accepted),
         "a warm one does not fall"
     );
 }
