--- a/lab/src/cli/compare.rs
+++ b/lab/src/cli/compare.rs
@@ -66,28 +66,30 @@
             "A broke",
             "B broke",
         ]);
-        let mut rows =
-            |name: &str, pairs: Vec<(&crate::score::service::Outcome, &crate::score::service::Outcome)>| {
-                let n = pairs.len() as f64;
-                let score: Vec<f64> = pairs.iter().map(|(a, b)| b.score - a.score).collect();
-                let (mean, from, to) = interval(&score);
-                let worst = pairs.iter().map(|(a, b)| b.worst - a.worst).sum::<f64>() / n;
-                let broke =
-                    |which: &dyn Fn(
-                        &(&crate::score::service::Outcome, &crate::score::service::Outcome),
-                    ) -> bool| { pairs.iter().filter(|p| which(p)).count().to_string() };
-                out.add_row([
-                    name.to_string(),
-                    format!("{:.4}", pairs.iter().map(|p| p.0.score).sum::<f64>() / n),
-                    format!("{:.4}", pairs.iter().map(|p| p.1.score).sum::<f64>() / n),
-                    format!("{mean:+.4}"),
-                    format!("{from:+.4}"),
-                    format!("{to:+.4}"),
-                    format!("{worst:+.4}"),
-                    broke(&|p| !p.0.breaks.is_empty()),
-                    broke(&|p| !p.1.breaks.is_empty()),
-                ]);
-            };
+        let mut rows = |name: &str,
+                        pairs: Vec<(
+            &crate::score::service::RunOutcome,
+            &crate::score::service::RunOutcome,
+        )>| {
+            let n = pairs.len() as f64;
+            let score: Vec<f64> = pairs.iter().map(|(a, b)| b.score - a.score).collect();
+            let (mean, from, to) = interval(&score);
+            let worst = pairs.iter().map(|(a, b)| b.worst - a.worst).sum::<f64>() / n;
+            let broke = |which: &dyn Fn(
+                &(&crate::score::service::RunOutcome, &crate::score::service::RunOutcome),
+            ) -> bool| { pairs.iter().filter(|p| which(p)).count().to_string() };
+            out.add_row([
+                name.to_string(),
+                format!("{:.4}", pairs.iter().map(|p| p.0.score).sum::<f64>() / n),
+                format!("{:.4}", pairs.iter().map(|p| p.1.score).sum::<f64>() / n),
+                format!("{mean:+.4}"),
+                format!("{from:+.4}"),
+                format!("{to:+.4}"),
+                format!("{worst:+.4}"),
+                broke(&|p| !p.0.breaks.is_empty()),
+                broke(&|p| !p.1.breaks.is_empty()),
+            ]);
+        };
         for (name, _) in &first {
             rows(name, a.iter().zip(&b).filter(|(a, _)| a.scenario == *name).collect());
         }
--- a/lab/src/cli/run.rs
+++ b/lab/src/cli/run.rs
@@ -2,8 +2,8 @@
 
 use super::{seeds, table};
 use crate::scenario::{library, Scenario};
-use crate::score::record::{Entry, Reader, Writer};
-use crate::score::service::{Outcome, Service};
+use crate::score::record::{Entry, EntrySink, Writer};
+use crate::score::service::{RunOutcome, Scorer};
 use crate::virt;
 use crate::virt::decider::Choice;
 use clap::Args;
@@ -70,13 +70,13 @@
 }
 
 /// Shows entries to a score and to a record.
-struct Both<'a>(&'a mut Service, Option<&'a mut Writer<std::fs::File>>);
+struct Both<'a>(&'a mut Scorer, Option<&'a mut Writer<std::fs::File>>);
 
-impl Reader for Both<'_> {
-    fn read(&mut self, entry: &Entry) {
-        self.0.read(entry);
+impl EntrySink for Both<'_> {
+    fn accept(&mut self, entry: &Entry) {
+        self.0.accept(entry);
         if let Some(writer) = &mut self.1 {
-            writer.read(entry);
+            writer.accept(entry);
         }
     }
 }
@@ -88,8 +88,8 @@
     seed: u64,
     choice: &Choice,
     record: Option<&Path>,
-) -> Result<Outcome, String> {
-    let mut service = Service::default();
+) -> Result<RunOutcome, String> {
+    let mut service = Scorer::default();
     let mut writer = writer(record, name, seed)?;
     virt::play(scenario, name, seed, choice, &mut Both(&mut service, writer.as_mut()))?;
     if let Some(writer) = writer {
@@ -99,12 +99,12 @@
 }
 
 /// A score that outlives the run that feeds it.
-struct Shared(std::rc::Rc<std::cell::RefCell<(Service, Option<Writer<std::fs::File>>)>>);
+struct Shared(std::rc::Rc<std::cell::RefCell<(Scorer, Option<Writer<std::fs::File>>)>>);
 
-impl Reader for Shared {
-    fn read(&mut self, entry: &Entry) {
+impl EntrySink for Shared {
+    fn accept(&mut self, entry: &Entry) {
         let (service, writer) = &mut *self.0.borrow_mut();
-        Both(service, writer.as_mut()).read(entry);
+        Both(service, writer.as_mut()).accept(entry);
     }
 }
 
@@ -115,8 +115,8 @@
     seed: u64,
     program: &Path,
     record: Option<&Path>,
-) -> Result<(Outcome, bool), String> {
-    let shared = std::rc::Rc::new(std::cell::RefCell::new((Service::default(), writer(record, name, seed)?)));
+) -> Result<(RunOutcome, bool), String> {
+    let shared = std::rc::Rc::new(std::cell::RefCell::new((Scorer::default(), writer(record, name, seed)?)));
     let counts = crate::live::play(scenario, name, seed, program, Box::new(Shared(shared.clone())))?;
     let (service, writer) = &mut *shared.borrow_mut();
     if let Some(writer) = writer.take() {
@@ -138,7 +138,7 @@
     seeds: std::ops::RangeInclusive<u64>,
     choice: &Choice,
     record: Option<&Path>,
-) -> Result<Vec<Outcome>, String> {
+) -> Result<Vec<RunOutcome>, String> {
     let days: Vec<(&String, &Scenario, u64)> =
         scenarios.iter().flat_map(|(name, s)| seeds.clone().map(move |seed| (name, s, seed))).collect();
     let style =
@@ -186,7 +186,7 @@
         &self,
         scenarios: &[(String, Scenario)],
         seeds: std::ops::RangeInclusive<u64>,
-    ) -> Result<Vec<Outcome>, String> {
+    ) -> Result<Vec<RunOutcome>, String> {
         let mut outcomes = Vec::new();
         for (name, scenario) in scenarios {
             if let Some(why) = crate::live::site::too_large(scenario) {
@@ -207,7 +207,7 @@
 }
 
 /// A row a scenario: means over the seeds.
-fn print(outcomes: &[Outcome]) {
+fn print(outcomes: &[RunOutcome]) {
     let mut out = table(&[
         "scenario",
         "seeds",
@@ -228,12 +228,12 @@
     let mut names: Vec<&str> = outcomes.iter().map(|o| o.scenario.as_str()).collect();
     names.dedup();
     for name in names {
-        let days: Vec<&Outcome> = outcomes.iter().filter(|o| o.scenario == name).collect();
+        let days: Vec<&RunOutcome> = outcomes.iter().filter(|o| o.scenario == name).collect();
         let n = days.len() as f64;
-        let mean = |of: &dyn Fn(&Outcome) -> f64| days.iter().map(|o| of(o)).sum::<f64>() / n;
-        let count = |of: &dyn Fn(&Outcome) -> u64| format!("{:.1}", mean(&|o| of(o) as f64));
+        let mean = |of: &dyn Fn(&RunOutcome) -> f64| days.iter().map(|o| of(o)).sum::<f64>() / n;
+        let count = |of: &dyn Fn(&RunOutcome) -> u64| format!("{:.1}", mean(&|o| of(o) as f64));
         let breaks: u64 = days.iter().flat_map(|o| o.breaks.values()).sum();
-        let slowest = |o: &Outcome| o.classes.iter().map(|c| c.to_up_ms.1).fold(0.0, f64::max);
+        let slowest = |o: &RunOutcome| o.classes.iter().map(|c| c.to_up_ms.1).fold(0.0, f64::max);
         out.add_row([
             name.to_string(),
             days.len().to_string(),
--- a/lab/src/live/balancers.rs
+++ b/lab/src/live/balancers.rs
@@ -5,7 +5,7 @@
 use super::wire::Speaks;
 use crate::scenario::plan::Plan;
 use crate::scenario::Scenario;
-use crate::score::record::What;
+use crate::score::record::RunEvent;
 use crate::virt::engine::host_id;
 use oakdeal::Micros;
 use std::cell::{Cell, RefCell};
@@ -174,7 +174,7 @@
 
     /// It is killed, and up again after a while.
     pub async fn kill(&self, site: &Rc<Site>, discovery: &Discovery, n: usize, down: Micros) {
-        site.note(What::Died { node: n });
+        site.note(RunEvent::Died { node: n });
         *site.deaths.borrow_mut().entry(n).or_default() += 1;
         let child = self.all[n].child.borrow_mut().take();
         if let Some(mut child) = child {
--- a/lab/src/live/clients.rs
+++ b/lab/src/live/clients.rs
@@ -6,7 +6,7 @@
 use super::site::Site;
 use super::wire::{Answer, Heard, Wire};
 use crate::scenario::plan::{draw, wait, BREAK, MOVE};
-use crate::score::record::What;
+use crate::score::record::RunEvent;
 use oakdeal::Micros;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -97,22 +97,22 @@
         p.group
     );
     let life = site.deaths(node);
-    let note = |what: What| {
+    let note = |what: RunEvent| {
         if site.deaths(node) == life {
             site.note(what);
         }
     };
     let by = site.now() + class.give_up.0;
-    site.note(What::Asked { node, call: call.clone(), team: p.team, class: p.class, by });
+    site.note(RunEvent::Asked { node, call: call.clone(), team: p.team, class: p.class, by });
     if !wire.ask(&open, &call, &domain).await {
-        note(What::Answer { node, call, refused: false, after: None, contract: false });
+        note(RunEvent::Answer { node, call, refused: false, after: None, contract: false });
         return End::No(None);
     }
     let answer = tokio::select! {
         biased;
         answer = wire.answer(&domain) => answer,
         () = site.until(by.min(until)) => {
-            note(What::Gone { node, call });
+            note(RunEvent::ClientLeft { node, call });
             return if site.now() >= until { End::Done } else { End::No(None) };
         }
     };
@@ -123,16 +123,16 @@
         };
         if answer == Answer::Ended && site.now() < by {
             let wrong = "ended without an answer".into();
-            note(What::Line { node, call: call.clone(), wrong });
+            note(RunEvent::LineFault { node, call: call.clone(), wrong });
         }
-        note(What::Answer { node, call, refused, after, contract: false });
+        note(RunEvent::Answer { node, call, refused, after, contract: false });
         return End::No(after);
     }
     let dropped = servers.drop_of(c);
     let (mut beats, mut out): (u64, VecDeque<(String, Micros)>) = (0, VecDeque::new());
     let mut beat = tokio::time::interval(BEAT);
     beat.tick().await;
-    let wrong = |what: String| note(What::Line { node, call: call.clone(), wrong: what });
+    let wrong = |what: String| note(RunEvent::LineFault { node, call: call.clone(), wrong: what });
     let end = loop {
         let held = out.front().map(|(_, at)| at + HELD);
         tokio::select! {
@@ -166,8 +166,8 @@
     };
     if matches!(end, End::Moved) {
         site.count(3);
-        note(What::Moved { node, call: call.clone() });
+        note(RunEvent::Moved { node, call: call.clone() });
     }
-    note(What::Over { node, call, broken: matches!(end, End::Broken) });
+    note(RunEvent::ConnectionEnded { node, call, broken: matches!(end, End::Broken) });
     end
 }
--- a/lab/src/live/discovery.rs
+++ b/lab/src/live/discovery.rs
@@ -3,7 +3,7 @@
 use super::site::Site;
 use crate::scenario::plan::{stream, Plan};
 use crate::scenario::Scenario;
-use crate::score::record::What;
+use crate::score::record::RunEvent;
 use crate::virt::engine::host_id;
 use oakdeal::{HostState, Micros};
 use rand::RngExt;
@@ -128,7 +128,7 @@
         }
         let list = self.list() + "\n";
         let told = |s: usize, state: HostState| {
-            site.note(What::told(node, s, state));
+            site.note(RunEvent::state_notified(node, s, state));
         };
         let states: Vec<HostState> = self.entries.borrow().iter().map(|e| e.state).collect();
         if !first.contains("watch=1") {
@@ -150,7 +150,7 @@
             let line = tokio::select! {
                 news = news.recv() => match news {
                     Some(Some((line, server, state))) => {
-                        site.note(What::told(node, server, state));
+                        site.note(RunEvent::state_notified(node, server, state));
                         line
                     }
                     // It goes down: watches end.
--- a/lab/src/live/servers.rs
+++ b/lab/src/live/servers.rs
@@ -5,7 +5,7 @@
 use crate::model::server::{Arrival, Job, Server};
 use crate::scenario::plan::{draw, Plan, CHANGE, SWING};
 use crate::scenario::Scenario;
-use crate::score::record::{Attempt, What};
+use crate::score::record::{AttemptOutcome, RunEvent};
 use oakdeal::Micros;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -183,7 +183,7 @@
             }
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        site.note(What::Sent { node, call: call.clone(), server: s, crosses: from != to });
+        site.note(RunEvent::Sent { node, call: call.clone(), server: s, crosses: from != to });
         let (to, mut words) = unbounded_channel();
         let (p, now) = (&site.plan.clients[c], site.now());
         let cell = site.cell(c);
@@ -195,14 +195,14 @@
                 (p.seed ^ u64::from(h.last).wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64 / u64::MAX as f64;
             let came = match () {
                 () if h.silent => None,
-                () if h.draining => Some(Err(Attempt::Full)),
-                () if chance < h.errors => Some(Err(Attempt::Error)),
+                () if h.draining => Some(Err(AttemptOutcome::Full)),
+                () if chance < h.errors => Some(Err(AttemptOutcome::Error)),
                 () => Some(match h.model.receive_request(now, job, p.load, p.cost) {
                     Arrival::Accepted => Ok(()),
-                    Arrival::Full => Err(Attempt::Full),
+                    Arrival::Full => Err(AttemptOutcome::Full),
                     Arrival::Overloaded => {
                         h.fallen = true;
-                        Err(Attempt::Reset)
+                        Err(AttemptOutcome::Reset)
                     }
                 }),
             };
@@ -214,12 +214,12 @@
         };
         if let Some(Err(how)) = came {
             site.count(5);
-            site.note(What::Done { node, call, how });
-            if how == Attempt::Reset {
-                site.note(What::Fell { server: s });
+            site.note(RunEvent::Done { node, call, how });
+            if how == AttemptOutcome::Reset {
+                site.note(RunEvent::Overloaded { server: s });
                 return self.die(site, s);
             }
-            wire.no(how == Attempt::Full).await;
+            wire.no(how == AttemptOutcome::Full).await;
             return;
         }
         self.out.borrow_mut().insert(call.clone(), (s, job));
@@ -238,7 +238,7 @@
         self.out.borrow_mut().remove(&call);
         if !up {
             site.count(5);
-            site.note(What::Done { node, call, how: Attempt::Given });
+            site.note(RunEvent::Done { node, call, how: AttemptOutcome::GivenUp });
             return self.gone(site, s, job);
         }
         {
@@ -248,7 +248,7 @@
                 peer.stands = true;
             }
         }
-        site.note(What::Done { node, call: call.clone(), how: Attempt::Up });
+        site.note(RunEvent::Done { node, call: call.clone(), how: AttemptOutcome::Up });
         let told = self.hosts[s].borrow().model.reported_load(p.load);
         let mut draws = p.seed;
         let mut change = Box::pin(tokio::time::sleep(wait(&mut draws)));
@@ -324,7 +324,7 @@
                     (h.listener, h.xmpp, h.up, h.draining) = (Some(listener), Some(xmpp), true, false);
                     h.model.start(site.now());
                 }
-                site.note(What::Started { server: s });
+                site.note(RunEvent::Started { server: s });
                 self.accept(site, s);
                 return true;
             }
--- a/lab/src/live/site.rs
+++ b/lab/src/live/site.rs
@@ -7,7 +7,7 @@
 use super::wire::Speaks;
 use crate::scenario::plan::Plan;
 use crate::scenario::{Kind, Scenario};
-use crate::score::record::{Entry, Reader, What};
+use crate::score::record::{Entry, EntrySink, RunEvent};
 use oakdeal::{HostState, Micros};
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -31,7 +31,7 @@
     /// The day.
     pub plan: Plan,
     begun: Instant,
-    reader: RefCell<Box<dyn Reader>>,
+    reader: RefCell<Box<dyn EntrySink>>,
     /// Clients that want a connection, by team and class.
     pub wants: RefCell<Vec<u32>>,
     /// The balancer that each client last asked.
@@ -56,8 +56,8 @@
     }
 
     /// Notes what happens now.
-    pub fn note(&self, what: What) {
-        self.reader.borrow_mut().read(&Entry { t: self.now(), what });
+    pub fn note(&self, what: RunEvent) {
+        self.reader.borrow_mut().accept(&Entry { t: self.now(), what });
     }
 
     /// One more of a count.
@@ -106,7 +106,7 @@
     name: &str,
     seed: u64,
     program: &Path,
-    reader: Box<dyn Reader>,
+    reader: Box<dyn EntrySink>,
 ) -> Result<bool, String> {
     if let Some(why) = too_large(scenario) {
         return Err(why);
@@ -123,7 +123,7 @@
     name: &str,
     seed: u64,
     program: &Path,
-    reader: Box<dyn Reader>,
+    reader: Box<dyn EntrySink>,
 ) -> Result<bool, String> {
     let plan = Plan::draw(scenario, seed);
     let cells = scenario.team.len() * scenario.class.len();
@@ -147,7 +147,7 @@
     let terms =
         scenario.operator.as_ref().map(|t| crate::virt::decider::operator(t.get_ref())).transpose()?;
     let capacity = terms.and_then(|o| o.terms).and_then(|t| t.capacity);
-    site.note(What::Begin {
+    site.note(RunEvent::Begin {
         scenario: name.into(),
         title: scenario.title.clone(),
         seed,
@@ -184,7 +184,7 @@
     }
     // What is still under way when the clock stops is owed nothing.
     let [first, sends, crossings, moves, probes, wasted, offered] = &site.counts;
-    site.note(What::End {
+    site.note(RunEvent::End {
         first: first.get(),
         sends: sends.get(),
         crossings: crossings.get(),
@@ -230,7 +230,7 @@
                 continue;
             }
             let (loads, held) = servers.loads(now);
-            site.note(What::second(&a, &s, classes, loads, held));
+            site.note(RunEvent::second(&a, &s, classes, loads, held));
         }
     }
 }
@@ -245,7 +245,7 @@
 ) {
     let strike = site.plan.strikes[i].clone();
     site.until(strike.from).await;
-    site.note(What::Fault { text: format!("{:?}", strike.fault.kind), until: strike.until });
+    site.note(RunEvent::Fault { text: format!("{:?}", strike.fault.kind), until: strike.until });
     // On loopback a cut network cannot be told from silence: connections are taken by the system itself.
     let silent = |on: bool| strike.servers.iter().for_each(|&s| servers.silence(s, on));
     match strike.fault.kind {
--- a/lab/src/report/fleet.rs
+++ b/lab/src/report/fleet.rs
@@ -1,6 +1,6 @@
 //! What all balancers do together, counted by second: what is harmless in one can be harmful in a hundred.
 
-use crate::score::record::{Attempt, Entry, What};
+use crate::score::record::{AttemptOutcome, Entry, RunEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 
@@ -30,13 +30,13 @@
     pub fn read(&mut self, entry: &Entry) {
         let t = entry.t;
         match &entry.what {
-            What::Begin { score_from, .. } => self.from = *score_from,
-            What::Started { server } => drop(self.started.insert(*server, t)),
-            What::Called { answered: true, .. } => self.count(t, "calls of discovery"),
-            What::Called { .. } => self.count(t, "calls that fail"),
-            What::Told { .. } => self.count(t, "entries told"),
-            What::Probed { .. } => self.count(t, "probes"),
-            What::Sent { call, server, .. } => {
+            RunEvent::Begin { score_from, .. } => self.from = *score_from,
+            RunEvent::Started { server } => drop(self.started.insert(*server, t)),
+            RunEvent::DiscoveryCalled { answered: true, .. } => self.count(t, "calls of discovery"),
+            RunEvent::DiscoveryCalled { .. } => self.count(t, "calls that fail"),
+            RunEvent::StateNotified { .. } => self.count(t, "entries told"),
+            RunEvent::Probed { .. } => self.count(t, "probes"),
+            RunEvent::Sent { call, server, .. } => {
                 self.count(t, "connects");
                 if !self.tried.insert(call.clone()) {
                     self.count(t, "retries");
@@ -45,20 +45,20 @@
                     self.count(t, "connects to cold servers");
                 }
             }
-            What::Done { how, .. } => match how {
-                Attempt::Up | Attempt::Given => {}
-                Attempt::Error => self.count(t, "failed: error"),
-                Attempt::Full => self.count(t, "failed: turned away"),
-                Attempt::Timeout => self.count(t, "failed: no answer in time"),
-                Attempt::Unconnected => self.count(t, "failed: not connected"),
-                Attempt::Reset => self.count(t, "failed: reset"),
+            RunEvent::Done { how, .. } => match how {
+                AttemptOutcome::Up | AttemptOutcome::GivenUp => {}
+                AttemptOutcome::Error => self.count(t, "failed: error"),
+                AttemptOutcome::Full => self.count(t, "failed: turned away"),
+                AttemptOutcome::Timeout => self.count(t, "failed: no answer in time"),
+                AttemptOutcome::Unconnected => self.count(t, "failed: not connected"),
+                AttemptOutcome::Reset => self.count(t, "failed: reset"),
             },
-            What::Answer { refused: true, contract: true, .. } => self.count(t, "refused by contract"),
-            What::Answer { refused: true, .. } => self.count(t, "refused"),
-            What::Answer { .. } => self.count(t, "answered as failed"),
-            What::Moved { .. } => self.count(t, "moves"),
-            What::Over { broken: true, .. } => self.count(t, "standing connections broken"),
-            What::Fell { .. } => self.count(t, "cold servers pushed over"),
+            RunEvent::Answer { refused: true, contract: true, .. } => self.count(t, "refused by contract"),
+            RunEvent::Answer { refused: true, .. } => self.count(t, "refused"),
+            RunEvent::Answer { .. } => self.count(t, "answered as failed"),
+            RunEvent::Moved { .. } => self.count(t, "moves"),
+            RunEvent::ConnectionEnded { broken: true, .. } => self.count(t, "standing connections broken"),
+            RunEvent::Overloaded { .. } => self.count(t, "cold servers pushed over"),
             _ => {}
         }
     }
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -3,15 +3,15 @@
 
 pub mod fleet;
 
-use crate::score::record::{replay, Entry, Reader, What};
-use crate::score::service::{Outcome, Part, Service};
+use crate::score::record::{replay, Entry, EntrySink, RunEvent};
+use crate::score::service::{RunOutcome, Scorer, ServiceStats};
 use plotters::prelude::*;
 use std::fmt::Write as _;
 use std::path::Path;
 
 /// What a report needs of a run.
 struct Day {
-    outcome: Outcome,
+    outcome: RunOutcome,
     counts: fleet::Counts,
     title: String,
     seconds: Vec<(f64, f64)>,
@@ -26,24 +26,24 @@
 fn read(path: &Path) -> Result<Day, String> {
     let said = |e: String| format!("{}: {e}", path.display());
     let file = std::fs::File::open(path).map_err(|e| said(format!("cannot be read: {e}")))?;
-    let (mut service, mut title, mut from) = (Service::default(), String::new(), 0);
+    let (mut service, mut title, mut from) = (Scorer::default(), String::new(), 0);
     let mut counts = fleet::Counts::default();
     let (mut loads, mut held, mut faults) = (Vec::new(), Vec::new(), Vec::new());
     replay(file, |entry: Entry| {
         match &entry.what {
-            What::Begin { title: told, score_from, .. } => (title, from) = (told.clone(), *score_from),
-            What::Second { loads: now, held: there, .. } => {
+            RunEvent::Begin { title: told, score_from, .. } => (title, from) = (told.clone(), *score_from),
+            RunEvent::Second { loads: now, held: there, .. } => {
                 loads.push(now.clone());
                 held.push(there.iter().map(|&n| u64::from(n)).sum());
             }
-            What::Fault { text, until } => {
+            RunEvent::Fault { text, until } => {
                 let at = |us: u64| us.saturating_sub(from) as f64 / 1e6;
                 faults.push((at(entry.t), at(*until), text.clone()));
             }
             _ => {}
         }
         counts.read(&entry);
-        service.read(&entry);
+        service.accept(&entry);
     })
     .map_err(said)?;
     let outcome = service.outcome().map_err(said)?;
@@ -99,7 +99,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-fn parts(html: &mut String, what: &str, all: &[Part]) {
+fn parts(html: &mut String, what: &str, all: &[ServiceStats]) {
     let _ = write!(
         html,
         "<table><tr><th>{what}<th>service<th>requests<th>up<th>refused<th>by contract<th>failed<th>UP ms, 50%<th>99%</tr>"
--- a/lab/src/score/mod.rs
+++ b/lab/src/score/mod.rs
@@ -1,8 +1,8 @@
-//! What a run was worth, and whether the rules were kept.
+//! The score of a run, and the check of the service rules.
 //!
-//! - [`record`]: every thing that happened, as JSON lines, compressed; all else can be computed from it.
-//! - [`checker`]: the rules, read from the record of either kind of run.
-//! - [`service`]: the worth of the seconds well served over the worth asked for.
+//! - [`record`]: every event of a run as compressed JSON lines; all results can be computed from it.
+//! - [`checker`]: checks the rules against the record of a simulated or a live run.
+//! - [`service`]: the score: the worth of the connection time served well, over the worth of that asked for.
 
 pub mod checker;
 pub mod record;
--- a/lab/src/virt/engine.rs
+++ b/lab/src/virt/engine.rs
@@ -7,7 +7,7 @@
 use crate::model::server::{Job, Server};
 use crate::scenario::plan::{draw, stream, wait, Plan, BREAK, MOVE};
 use crate::scenario::Scenario;
-use crate::score::record::{letter, Attempt, Entry, Reader, What};
+use crate::score::record::{state_letter, AttemptOutcome, Entry, EntrySink, RunEvent};
 use oakdeal::contracts::Terms;
 use oakdeal::{Action, CallId, Event, HostId, HostState, ListKind, Micros, Outcome};
 use std::cmp::Reverse;
@@ -32,7 +32,7 @@
     Come(u32),
     Reach(Job),
     Served(usize, u64),
-    Answered(Job, Attempt),
+    Answered(Job, AttemptOutcome),
     Patience(Job),
     Deadline(u32, u32),
     GiveUp(u32, u32),
@@ -172,7 +172,7 @@
     pub(super) network: Network,
     pub(super) discovery: Discovery,
     pub(super) lag: rand_chacha::ChaCha8Rng,
-    pub(super) reader: &'a mut dyn Reader,
+    pub(super) reader: &'a mut dyn EntrySink,
     /// Clients that want a connection, by team and class.
     pub(super) wants: Vec<u32>,
     pub(super) asked: Vec<f64>,
@@ -211,7 +211,7 @@
     name: &str,
     seed: u64,
     choice: &Choice,
-    reader: &mut dyn Reader,
+    reader: &mut dyn EntrySink,
 ) -> Result<(), String> {
     let plan = Plan::draw(scenario, seed);
     play_plan(scenario, name, seed, &plan, choice, reader, None)
@@ -227,7 +227,7 @@
     seed: u64,
     plan: &Plan,
     choice: &Choice,
-    reader: &mut dyn Reader,
+    reader: &mut dyn EntrySink,
     own: Option<Wrap>,
 ) -> Result<(), String> {
     let load = scenario.mean_load();
@@ -319,7 +319,7 @@
             _ => None,
         };
         let capacity = terms.and_then(|t| t.capacity).map(|c| (c / self.nodes.len() as f64) as u64);
-        self.note(What::Begin {
+        self.note(RunEvent::Begin {
             scenario: name.into(),
             title: self.scenario.title.clone(),
             seed: self.seed,
@@ -367,7 +367,7 @@
         }
         self.now = end;
         let c = std::mem::take(&mut self.counts);
-        self.note(What::End {
+        self.note(RunEvent::End {
             first: c.first,
             sends: c.sends,
             crossings: c.crossings,
@@ -384,8 +384,8 @@
         self.queue.push(Reverse(Item { at: at.max(self.now), number: self.number, ev }));
     }
 
-    pub(super) fn note(&mut self, what: What) {
-        self.reader.read(&Entry { t: self.now, what });
+    pub(super) fn note(&mut self, what: RunEvent) {
+        self.reader.accept(&Entry { t: self.now, what });
     }
 
     /// A draw of a client's own, from 0 to 1.
@@ -414,8 +414,8 @@
     pub(super) fn known(&mut self, n: usize) {
         let list = self.nodes[n].list.clone();
         for (&server, Listed { entry, learned }) in &list {
-            let (state, learned) = (letter(entry.state), *learned);
-            self.note(What::Known { node: n, server, state, learned });
+            let (state, learned) = (state_letter(entry.state), *learned);
+            self.note(RunEvent::StateCached { node: n, server, state, learned });
         }
         let hosts = list.into_values().map(|listed| listed.entry).collect();
         self.tell(n, Event::Members { kind: ListKind::Cached, hosts });
@@ -460,7 +460,7 @@
                 let crosses = self.nodes[n].zone != self.plan.servers[server].zone;
                 self.counts.sends += 1;
                 self.counts.crossings += u64::from(crosses);
-                self.note(What::Sent { node: n, call: call.0.to_string(), server, crosses });
+                self.note(RunEvent::Sent { node: n, call: call.0.to_string(), server, crosses });
                 let Some(c) = self.client_of(n, &call) else { return };
                 let now = self.now;
                 let client = &mut self.clients[c as usize];
@@ -499,13 +499,13 @@
                     () if h.silent.is_some() => (CONNECT, Outcome::Timeout),
                     () => (way + 1_000, Outcome::Ok),
                 };
-                self.note(What::Probed { node: n, server });
+                self.note(RunEvent::Probed { node: n, server });
                 self.at(self.now + after, Ev::Probed(n, epoch, server, outcome));
             }
             Action::Watch => {
                 let epoch = self.nodes[n].epoch;
                 let called = self.discovery.enqueue_call(self.now);
-                self.note(What::Called { node: n, answered: called.is_ok() });
+                self.note(RunEvent::DiscoveryCalled { node: n, answered: called.is_ok() });
                 match called {
                     Ok(at) => self.at(at, Ev::News(n, epoch, ListKind::Full, None)),
                     Err(at) => self.at(at, Ev::News(n, epoch, ListKind::Failed, None)),
@@ -523,7 +523,7 @@
         after: Option<Micros>,
         contract: bool,
     ) {
-        self.note(What::Answer { node: n, call: call.0.to_string(), refused, after, contract });
+        self.note(RunEvent::Answer { node: n, call: call.0.to_string(), refused, after, contract });
         let Some(c) = self.client_of(n, call) else { return };
         if matches!(self.clients[c as usize].phase, Phase::Asking | Phase::Sent) {
             self.again(c, after);
@@ -556,7 +556,7 @@
         };
         self.off(c, server, (c, serial));
         let (call, broken) = (self.call(c), outcome == Outcome::Reset);
-        self.note(What::Over { node, call: call.0.to_string(), broken });
+        self.note(RunEvent::ConnectionEnded { node, call: call.0.to_string(), broken });
         self.finished(c, outcome, true);
     }
 
@@ -581,7 +581,7 @@
     pub(super) fn moved(&mut self, c: u32) {
         let (node, call) = (self.clients[c as usize].node, self.call(c));
         self.counts.moves += 1;
-        self.note(What::Moved { node, call: call.0.to_string() });
+        self.note(RunEvent::Moved { node, call: call.0.to_string() });
         self.clients[c as usize].phase = Phase::Out;
         self.over(c, Outcome::Cancelled);
         self.returns(c, MOVE);
@@ -605,7 +605,7 @@
             Ev::Answered(job, how) => self.result(job, how),
             Ev::Patience(job) => {
                 if self.out(job) {
-                    self.result(job, Attempt::Timeout);
+                    self.result(job, AttemptOutcome::Timeout);
                 }
             }
             Ev::Deadline(c, tries) => self.deadline(c, tries, true),
--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -4,7 +4,7 @@
 use super::engine::{server_of, Change, Ev, Listed, Phase, World, NEXT, NOTICED, NOTIFIED_AFTER, TERM};
 use crate::scenario::plan::{Strike, BREAK};
 use crate::scenario::Kind;
-use crate::score::record::{letter, Attempt, What};
+use crate::score::record::{state_letter, AttemptOutcome, RunEvent};
 use oakdeal::broker::SILENT;
 use oakdeal::serve::FIRST_LIST;
 use oakdeal::{Event, HostState, ListKind, Micros, Outcome};
@@ -31,7 +31,7 @@
                 let hosts = self.discovery.list();
                 let listed: Vec<usize> = hosts.iter().map(|e| server_of(e.host)).collect();
                 for server in (0..self.hosts.len()).filter(|s| !listed.contains(s)) {
-                    self.note(What::told(n, server, HostState::Gone));
+                    self.note(RunEvent::state_notified(n, server, HostState::Gone));
                 }
                 self.nodes[n].list.retain(|server, _| listed.contains(server));
                 hosts
@@ -52,7 +52,7 @@
         };
         for entry in &hosts {
             let server = server_of(entry.host);
-            self.note(What::told(n, server, entry.state));
+            self.note(RunEvent::state_notified(n, server, entry.state));
             let list = &mut self.nodes[n].list;
             if entry.state == HostState::Gone {
                 list.remove(&server);
@@ -87,7 +87,7 @@
             return self.at(counts_at, Ev::Notified(change));
         }
         let Change { server, state, at } = change;
-        self.note(What::Notified { server, state: letter(state), changed: at });
+        self.note(RunEvent::Notified { server, state: state_letter(state), changed: at });
     }
 
     /// A server's process dies: everything there breaks.
@@ -101,7 +101,7 @@
         h.by_node.iter_mut().for_each(|n| *n = 0);
         for job in setups {
             let way = self.way(self.clients[job.0 as usize].node, server);
-            self.at(now + way, Ev::Answered(job, Attempt::Reset));
+            self.at(now + way, Ev::Answered(job, AttemptOutcome::Reset));
         }
         for job in held {
             let way = self.way(self.clients[job.0 as usize].node, server);
@@ -116,7 +116,7 @@
             (Some(place), _) | (None, Some(place)) => format!("{:?} ({place})", strike.fault.kind),
             _ => format!("{:?}", strike.fault.kind),
         };
-        self.note(What::Fault { text, until: strike.until });
+        self.note(RunEvent::Fault { text, until: strike.until });
         let now = self.now;
         match strike.fault.kind {
             Kind::Death => strike.servers.iter().for_each(|&s| self.die(s)),
@@ -208,7 +208,7 @@
                     let h = &mut self.hosts[server];
                     (h.up, h.draining) = (true, false);
                     h.model.start(now);
-                    self.note(What::Started { server });
+                    self.note(RunEvent::Started { server });
                     self.list(server, HostState::Ready, Some(now));
                 }
                 Kind::Silence | Kind::Cut => (h.silent, h.cut) = (None, false),
@@ -238,7 +238,7 @@
     }
 
     pub(super) fn kill(&mut self, n: usize, down: Micros) {
-        self.note(What::Died { node: n });
+        self.note(RunEvent::Died { node: n });
         let node = &mut self.nodes[n];
         (node.up, node.watching, node.due) = (false, false, None);
         node.epoch += 1;
--- a/lab/src/virt/requests.rs
+++ b/lab/src/virt/requests.rs
@@ -4,7 +4,7 @@
 use super::engine::{host_id, Ev, Phase, World, CONNECT};
 use crate::model::server::{Arrival, Job};
 use crate::scenario::plan::{CHANGE, SWING};
-use crate::score::record::{Attempt, What};
+use crate::score::record::{AttemptOutcome, RunEvent};
 use oakdeal::broker::SILENT;
 use oakdeal::{Demand, Event, Outcome};
 
@@ -44,7 +44,7 @@
         let (tries, failed, again, load) = (client.tries, client.failed, client.again, client.load);
         let call = self.call(c);
         let by = self.now + wait;
-        self.note(What::Asked { node: n, call: call.0.to_string(), team, class, by });
+        self.note(RunEvent::Asked { node: n, call: call.0.to_string(), team, class, by });
         let demand = Demand {
             key: Some(format!("k{c}").as_str().into()),
             group: Some(format!("g{group}").as_str().into()),
@@ -82,20 +82,20 @@
         let h = &mut self.hosts[server];
         self.counts.offered += 1.0;
         let how = match () {
-            () if h.cut => return self.at(now + CONNECT, Ev::Answered(job, Attempt::Unconnected)),
-            () if !h.up => Attempt::Unconnected,
+            () if h.cut => return self.at(now + CONNECT, Ev::Answered(job, AttemptOutcome::Unconnected)),
+            () if !h.up => AttemptOutcome::Unconnected,
             // Taken, and never answered.
             () if h.silent.is_some() => return,
-            () if h.draining => Attempt::Full,
-            () if chance < h.errors => Attempt::Error,
+            () if h.draining => AttemptOutcome::Full,
+            () if chance < h.errors => AttemptOutcome::Error,
             () => match h.model.receive_request(now, job, load, cost) {
                 Arrival::Accepted => return self.look(server),
-                Arrival::Full => Attempt::Full,
+                Arrival::Full => AttemptOutcome::Full,
                 Arrival::Overloaded => {
                     h.fallen = true;
-                    self.note(What::Fell { server });
+                    self.note(RunEvent::Overloaded { server });
                     self.die(server);
-                    Attempt::Reset
+                    AttemptOutcome::Reset
                 }
             },
         };
@@ -119,21 +119,21 @@
             h.standing[cell] += 1;
             h.by_node[node] += 1;
             let way = self.way(node, server);
-            self.at(now + way, Ev::Answered(job, Attempt::Up));
+            self.at(now + way, Ev::Answered(job, AttemptOutcome::Up));
         }
         self.look(server);
     }
 
     /// An attempt's outcome has come back.
-    pub(super) fn result(&mut self, job: Job, how: Attempt) {
+    pub(super) fn result(&mut self, job: Job, how: AttemptOutcome) {
         if !self.out(job) {
             return;
         }
         let (c, serial) = job;
         let (n, server) = (self.clients[c as usize].node, self.clients[c as usize].server);
         let call = self.call(c);
-        self.note(What::Done { node: n, call: call.0.to_string(), how });
-        if how == Attempt::Up {
+        self.note(RunEvent::Done { node: n, call: call.0.to_string(), how });
+        if how == AttemptOutcome::Up {
             let client = &mut self.clients[c as usize];
             (client.phase, client.failed) = (Phase::Stands, 0);
             let (load, elapsed) = (client.load, self.now - client.sent_at);
@@ -151,15 +151,15 @@
             return;
         }
         let outcome = match how {
-            Attempt::Up => Outcome::Ok,
-            Attempt::Error => Outcome::Error,
-            Attempt::Full => Outcome::Full,
-            Attempt::Timeout => Outcome::Timeout,
-            Attempt::Unconnected => Outcome::ConnectFailed,
-            Attempt::Reset => Outcome::Reset,
-            Attempt::Given => Outcome::Cancelled,
+            AttemptOutcome::Up => Outcome::Ok,
+            AttemptOutcome::Error => Outcome::Error,
+            AttemptOutcome::Full => Outcome::Full,
+            AttemptOutcome::Timeout => Outcome::Timeout,
+            AttemptOutcome::Unconnected => Outcome::ConnectFailed,
+            AttemptOutcome::Reset => Outcome::Reset,
+            AttemptOutcome::GivenUp => Outcome::Cancelled,
         };
-        if how == Attempt::Timeout {
+        if how == AttemptOutcome::Timeout {
             self.counts.wasted += 1.0;
             self.give_back(job);
         }
@@ -202,18 +202,18 @@
         if phase == Phase::Sent {
             self.give_back((c, serial));
             self.counts.wasted += 1.0;
-            self.note(What::Done { node: n, call: call.0.to_string(), how: Attempt::Given });
+            self.note(RunEvent::Done { node: n, call: call.0.to_string(), how: AttemptOutcome::GivenUp });
         }
         self.clients[c as usize].phase = Phase::Out;
         match balancer {
-            true => self.note(What::Answer {
+            true => self.note(RunEvent::Answer {
                 node: n,
                 call: call.0.to_string(),
                 refused: false,
                 after: None,
                 contract: false,
             }),
-            false => self.note(What::Gone { node: n, call: call.0.to_string() }),
+            false => self.note(RunEvent::ClientLeft { node: n, call: call.0.to_string() }),
         }
         self.tell(n, Event::Vanished { call });
         if phase == Phase::Sent {
--- a/lab/src/virt/seconds.rs
+++ b/lab/src/virt/seconds.rs
@@ -1,7 +1,7 @@
 //! What each second was worth, and how long messages take: looked at four times a second.
 
 use super::engine::{host_id, Ev, World, SECOND, TICK};
-use crate::score::record::What;
+use crate::score::record::RunEvent;
 use oakdeal::{Event, Micros};
 
 impl World<'_> {
@@ -67,6 +67,6 @@
         let loads =
             self.hosts.iter().map(|h| if h.up { h.model.utilization(now) as f32 } else { 0.0 }).collect();
         let held = self.hosts.iter().map(|h| h.model.connection_count() as u32).collect();
-        self.note(What::second(&asked, &served, classes, loads, held));
+        self.note(RunEvent::second(&asked, &served, classes, loads, held));
     }
 }
--- a/lab/tests/lab.rs
+++ b/lab/tests/lab.rs
@@ -10,8 +10,8 @@
 use oakdeal_lab::scenario::plan::{stream, Machine, Plan};
 use oakdeal_lab::scenario::{library, Fleet, Scenario};
 use oakdeal_lab::score::checker::{Checker, Rule};
-use oakdeal_lab::score::record::{replay, Attempt, Entry, Reader, What, Writer};
-use oakdeal_lab::score::service::{Outcome, Service};
+use oakdeal_lab::score::record::{replay, AttemptOutcome, Entry, EntrySink, RunEvent, Writer};
+use oakdeal_lab::score::service::{RunOutcome, Scorer};
 use oakdeal_lab::virt::decider::{Choice, Decider};
 use oakdeal_lab::virt::engine::play_plan;
 use rand_distr::{Distribution, Exp1};
@@ -25,11 +25,11 @@
 }
 
 /// What all balancers of a record did together, and what came of it.
-fn counted(record: &[u8]) -> (Counts, Outcome) {
-    let (mut counts, mut service) = (Counts::default(), Service::default());
+fn counted(record: &[u8]) -> (Counts, RunOutcome) {
+    let (mut counts, mut service) = (Counts::default(), Scorer::default());
     let read = |entry: Entry| {
         counts.read(&entry);
-        service.read(&entry);
+        service.accept(&entry);
     };
     replay(record, read).unwrap();
     (counts, service.outcome().unwrap())
@@ -113,11 +113,11 @@
 fn a_cold_server_that_falls_is_laid_on_those_who_were_told_that_it_started() {
     for (told, broken) in [(2, false), (3, true)] {
         let (mut checker, mut t) = (Checker::default(), 1_000_000);
-        let mut read = |what: What| {
+        let mut read = |what: RunEvent| {
             t += 1_000;
-            checker.read(&Entry { t, what });
+            checker.accept(&Entry { t, what });
         };
-        read(What::Begin {
+        read(RunEvent::Begin {
             scenario: String::new(),
             title: String::new(),
             seed: 1,
@@ -132,22 +132,22 @@
             fall_time: 1_500_000,
             capacity: None,
         });
-        (0..4).for_each(|node| read(What::told(node, 9, HostState::Ready)));
-        read(What::Started { server: 9 });
-        (0..told).for_each(|node| read(What::told(node, 9, HostState::Ready)));
+        (0..4).for_each(|node| read(RunEvent::state_notified(node, 9, HostState::Ready)));
+        read(RunEvent::Started { server: 9 });
+        (0..told).for_each(|node| read(RunEvent::state_notified(node, 9, HostState::Ready)));
         for node in 0..4 {
             let call = format!("c{node}");
-            read(What::Asked { node, call: call.clone(), team: 0, class: 0, by: 9_000_000 });
-            read(What::Sent { node, call, server: 9, crosses: false });
+            read(RunEvent::Asked { node, call: call.clone(), team: 0, class: 0, by: 9_000_000 });
+            read(RunEvent::Sent { node, call, server: 9, crosses: false });
         }
-        read(What::Fell { server: 9 });
-        assert_eq!(checker.breaks().1.contains_key(&Rule::Cold), broken, "{told} of 4 were told");
+        read(RunEvent::Overloaded { server: 9 });
+        assert_eq!(checker.violations().1.contains_key(&Rule::Cold), broken, "{told} of 4 were told");
     }
     // Where it is not noted who is told, as in a live run, all are.
     let mut checker = Checker::default();
-    checker.read(&Entry { t: 1, what: What::Started { server: 9 } });
-    checker.read(&Entry { t: 2, what: What::Fell { server: 9 } });
-    assert_eq!(checker.breaks().1[&Rule::Cold], 1);
+    checker.accept(&Entry { t: 1, what: RunEvent::Started { server: 9 } });
+    checker.accept(&Entry { t: 2, what: RunEvent::Overloaded { server: 9 } });
+    assert_eq!(checker.violations().1[&Rule::Cold], 1);
 }
 
 /// Guards against requests that vanish in the model itself.
@@ -155,19 +155,21 @@
 fn every_request_ends_in_exactly_one_way_and_all_can_be_computed_again_from_the_record() {
     for name in ["small", "drains", "rolling-restart", "discovery-down", "team-flood"] {
         let record = bytes(name, 3);
-        let (mut service, mut asked, mut ended) = (Service::default(), BTreeMap::new(), BTreeMap::new());
+        let (mut service, mut asked, mut ended) = (Scorer::default(), BTreeMap::new(), BTreeMap::new());
         replay(&record[..], |entry| {
             match &entry.what {
-                What::Asked { call, node, .. } => drop(asked.insert(call.clone(), *node)),
-                What::Answer { call, .. } | What::Gone { call, .. } | What::Over { call, .. } => {
+                RunEvent::Asked { call, node, .. } => drop(asked.insert(call.clone(), *node)),
+                RunEvent::Answer { call, .. }
+                | RunEvent::ClientLeft { call, .. }
+                | RunEvent::ConnectionEnded { call, .. } => {
                     *ended.entry(call.clone()).or_insert(0) += 1;
                 }
-                What::Died { node } => asked.iter().filter(|(_, n)| *n == node).for_each(|(call, _)| {
+                RunEvent::Died { node } => asked.iter().filter(|(_, n)| *n == node).for_each(|(call, _)| {
                     ended.entry(call.clone()).or_insert(1);
                 }),
                 _ => {}
             }
-            service.read(&entry);
+            service.accept(&entry);
         })
         .unwrap();
         assert!(ended.values().all(|n| *n == 1), "{name}: ended twice");
@@ -179,7 +181,7 @@
             "{name}: {left} have no end"
         );
         assert!(outcome.requests as usize == asked.len() && outcome.service > 0.3, "{name}: {outcome:?}");
-        let [up, refused, failed, gone, lost] = service.checker().ends;
+        let [up, refused, failed, gone, lost] = service.checker().end_counts;
         let owed = outcome.requests - up - refused - failed - gone - lost;
         assert!(owed < 60, "{name}: {owed} of {} without any answer", outcome.requests);
     }
@@ -306,7 +308,7 @@
 }
 
 fn broken(scenario: &Scenario, wrap: &dyn Fn(Box<dyn Decider>) -> Box<dyn Decider>) -> BTreeMap<Rule, u64> {
-    let (plan, mut service) = (Plan::draw(scenario, 5), Service::default());
+    let (plan, mut service) = (Plan::draw(scenario, 5), Scorer::default());
     play_plan(scenario, "planted", 5, &plan, &Choice::Own, &mut service, Some(wrap)).unwrap();
     let outcome = service.outcome().unwrap();
     assert!(outcome.breaks.is_empty() || outcome.score == 0.0, "a broken rule makes the day worth nothing");
@@ -335,25 +337,25 @@
     assert!(broken(&scenario, &open).contains_key(&Rule::Contract));
     // Lines: what the load tool of a live run notes.
     let mut checker = Checker::default();
-    let line = What::Line { node: 0, call: "c1-1".into(), wrong: "came twice".into() };
-    checker.read(&Entry { t: 5, what: line });
-    assert_eq!(checker.breaks().1[&Rule::Lines], 1);
+    let line = RunEvent::LineFault { node: 0, call: "c1-1".into(), wrong: "came twice".into() };
+    checker.accept(&Entry { t: 5, what: line });
+    assert_eq!(checker.violations().1[&Rule::Lines], 1);
 }
 
 /// Guards against a tie of a deadline and an answer that is counted twice.
 #[test]
 fn one_that_gives_up_at_the_instant_of_its_answer_ends_once() {
     let mut checker = Checker::default();
-    let mut say = |t, what| checker.read(&Entry { t, what });
+    let mut say = |t, what| checker.accept(&Entry { t, what });
     let call = || "c1-1".to_string();
-    say(0, What::Asked { node: 0, call: call(), team: 0, class: 0, by: 1_000 });
-    say(1, What::Sent { node: 0, call: call(), server: 1, crosses: false });
-    say(1_000, What::Done { node: 0, call: call(), how: Attempt::Given });
-    say(1_000, What::Gone { node: 0, call: call() });
-    assert!(checker.breaks().1.is_empty());
-    let mut say = |t, what| checker.read(&Entry { t, what });
-    say(1_000, What::Answer { node: 0, call: call(), refused: true, after: None, contract: false });
-    assert_eq!(checker.breaks().1[&Rule::OneAnswer], 1, "a second answer is a break");
+    say(0, RunEvent::Asked { node: 0, call: call(), team: 0, class: 0, by: 1_000 });
+    say(1, RunEvent::Sent { node: 0, call: call(), server: 1, crosses: false });
+    say(1_000, RunEvent::Done { node: 0, call: call(), how: AttemptOutcome::GivenUp });
+    say(1_000, RunEvent::ClientLeft { node: 0, call: call() });
+    assert!(checker.violations().1.is_empty());
+    let mut say = |t, what| checker.accept(&Entry { t, what });
+    say(1_000, RunEvent::Answer { node: 0, call: call(), refused: true, after: None, contract: false });
+    assert_eq!(checker.violations().1[&Rule::OneAnswer], 1, "a second answer is a break");
 }
 
 #[test]
@@ -494,7 +496,7 @@
 fn three_hundred_balancers_keep_their_mean_service_through_a_roll_and_a_lost_zone() {
     for (name, least) in [("fleet-mass-roll", 0.65), ("fleet-mass-zone", 0.80)] {
         let scenario = library::find(name).unwrap();
-        let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
+        let outcomes: Vec<RunOutcome> = std::thread::scope(|scope| {
             let play = |seed| {
                 let scenario = &scenario;
                 scope.spawn(move || run::one(name, scenario, seed, &Choice::Own, None).unwrap())
