--- a/lab/src/cli/ledger.rs
+++ b/lab/src/cli/ledger.rs
@@ -1,8 +1,8 @@
 //! `oakdeal-lab ledger`.
 
 use super::table;
-use crate::ledger::read::Day;
-use crate::ledger::{reckon, shares, Columns, Terms};
+use crate::ledger::read::ParsedLogs;
+use crate::ledger::{build_ledger, column_shares, Columns, LedgerSettings};
 use clap::Args;
 use std::path::PathBuf;
 
@@ -20,8 +20,8 @@
 impl Ledger {
     /// Reads, reckons and prints.
     pub fn run(self) -> Result<bool, String> {
-        let ledger = reckon(&Day::files(&self.logs)?, &Terms::default());
-        let all = shares(ledger.looks.iter().map(|(_, columns)| columns));
+        let ledger = build_ledger(&ParsedLogs::from_files(&self.logs)?, &LedgerSettings::default());
+        let all = column_shares(ledger.samples.iter().map(|(_, columns)| columns));
         let mut names: Vec<&String> = all.keys().collect();
         names.sort_by(|a, b| all[*b].total_cmp(&all[*a]));
         names.retain(|name| all[*name] >= 0.001);
@@ -32,17 +32,20 @@
             let cell = |name: &&String| format!("{:.1}%", 100.0 * columns.get(*name).unwrap_or(&0.0));
             shown.add_row([what].into_iter().chain(names.iter().map(cell)));
         };
-        let last = ledger.looks.last().map_or(0.0, |look| look.0);
+        let last = ledger.samples.last().map_or(0.0, |look| look.0);
         for n in 0..(last / self.row.max(0.5)).ceil() as usize {
             let (from, to) = (n as f64 * self.row, (n + 1) as f64 * self.row);
-            let looks = ledger.looks.iter().filter(|(t, _)| (from..to).contains(t));
-            row(format!("from {from} s"), shares(looks.map(|(_, columns)| columns)));
+            let looks = ledger.samples.iter().filter(|(t, _)| (from..to).contains(t));
+            row(format!("from {from} s"), column_shares(looks.map(|(_, columns)| columns)));
         }
-        ledger.classes.iter().for_each(|(class, columns)| row(format!("class {class}"), shares([columns])));
-        ledger.zones.iter().for_each(|(zone, columns)| row(format!("zone {zone}"), shares([columns])));
+        ledger
+            .classes
+            .iter()
+            .for_each(|(class, columns)| row(format!("class {class}"), column_shares([columns])));
+        ledger.zones.iter().for_each(|(zone, columns)| row(format!("zone {zone}"), column_shares([columns])));
         row("all".into(), all.clone());
         println!("{shown}");
-        let (first, end) = (ledger.spread.first(), ledger.spread.last());
+        let (first, end) = (ledger.servers_per_group.first(), ledger.servers_per_group.last());
         println!(
             "a group stands on {:.1} servers at first, {:.1} at the end",
             first.unwrap_or(&0.0),
--- a/lab/src/ledger/read.rs
+++ b/lab/src/ledger/read.rs
@@ -1,155 +1,158 @@
-//! Reads the debug log of balancers (`oakdeal=debug`) as events in the order of time.
+//! Parses the debug logs of balancers (`oakdeal=debug`) into events in order of time.
 //!
-//! A line begins with seconds since the start of the day, as the bench writes it, and holds `told: ` or `decided: ` with
-//! the module's event or actions as they print themselves, or discovery's word on an instance. Other lines are passed over.
+//! A line begins with the seconds since the start of the run, as the bench writes it, and contains `told: ` or
+//! `decided: ` followed by the debug output of the decision module's event or actions. Other lines are ignored.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// What a line says.
+/// The event of a log line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
-    /// A client asks, for the first time or again, or is found standing somewhere.
-    Asks {
-        /// The client's key.
+pub enum LogEvent {
+    /// A client requests a connection, or its existing connection is adopted.
+    Requested {
+        /// Key of the client.
         key: String,
-        /// Its group.
+        /// Group of the client.
         group: String,
-        /// Its class.
+        /// Class of the client.
         class: usize,
-        /// It was here before.
-        back: bool,
-        /// Where it is found standing.
-        at: Option<u32>,
+        /// Whether the client has returned or repeats a request.
+        returned: bool,
+        /// Server of an adopted connection.
+        server: Option<u32>,
     },
-    /// It stands.
-    Stands {
-        /// Where.
-        at: u32,
+    /// The connection is established.
+    Established {
+        /// Server of the connection.
+        server: u32,
     },
-    /// Its load.
+    /// The connection's load was reported.
     Load(f64),
-    /// An attempt or a standing connection has ended.
-    Ends {
-        /// As the module is told.
-        how: String,
+    /// An attempt or an established connection ended.
+    Ended {
+        /// Outcome as the log prints it.
+        outcome: String,
     },
-    /// It was refused.
+    /// The request was refused.
     Refused,
-    /// Nobody is there any more.
-    Vanished,
+    /// The client has left.
+    ClientLeft,
 }
 
-/// One event of one command.
+/// A parsed log line: one event of one call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
-    /// Seconds since the start.
+pub struct LogLine {
+    /// Seconds since the start of the run.
     pub t: f64,
-    /// The command.
+    /// The call.
     pub call: String,
-    /// What.
-    pub word: Word,
+    /// The event.
+    pub event: LogEvent,
 }
 
-/// An instance: size, zone, and when it was first named ready.
+/// An instance as discovery lists it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Instance {
-    /// Its registered size.
+    /// Registered size.
     pub size: f64,
-    /// Its zone, as the log names it.
+    /// Zone as the log prints it.
     pub zone: String,
-    /// Seconds since the start; 0 for those known from the first.
-    pub since: f64,
+    /// When the instance was first listed, in seconds since the start; 0 for those listed within the first second.
+    pub listed_at: f64,
 }
 
-/// All that was read.
+/// Events and instances from the logs of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Day {
-    /// Events, in the order of time.
-    pub lines: Vec<Line>,
-    /// Instances by number.
+pub struct ParsedLogs {
+    /// Events in order of time.
+    pub lines: Vec<LogLine>,
+    /// Instances by host number.
     pub instances: BTreeMap<u32, Instance>,
 }
 
-/// What stands between two marks.
+/// Returns the text between two markers.
 fn between<'a>(text: &'a str, from: &str, to: &str) -> Option<&'a str> {
     let rest = &text[text.find(from)? + from.len()..];
     Some(&rest[..rest.find(to)?])
 }
 
-fn call(text: &str) -> Option<String> {
+fn parse_call(text: &str) -> Option<String> {
     between(text, "CallId(\"", "\"").map(str::to_string)
 }
 
-fn number<T: std::str::FromStr>(text: &str, from: &str) -> Option<T> {
+fn number_after<T: std::str::FromStr>(text: &str, from: &str) -> Option<T> {
     let rest = &text[text.find(from)? + from.len()..];
     let end = rest.find(|c: char| !(c.is_ascii_digit() || c == '.')).unwrap_or(rest.len());
     rest[..end].parse().ok()
 }
 
-impl Day {
-    /// Takes in one line.
-    pub fn read(&mut self, line: &str) {
+impl ParsedLogs {
+    /// Parses one line; lines without a known event are ignored.
+    pub fn parse_line(&mut self, line: &str) {
         let Some(t) = line.split(' ').next().and_then(|t| t.parse::<f64>().ok()) else { return };
         if let Some((_, text)) = line.split_once("told: ") {
             if text.starts_with("Members") {
-                self.listed(t, text);
-            } else if let Some((call, word)) = told(text) {
-                self.lines.push(Line { t, call, word });
+                self.add_instances(t, text);
+            } else if let Some((call, event)) = parse_event(text) {
+                self.lines.push(LogLine { t, call, event });
             }
         } else if let Some((_, text)) = line.split_once("decided: ") {
-            let refused = text.split("Refuse { ").skip(1).filter_map(call);
-            self.lines.extend(refused.map(|call| Line { t, call, word: Word::Refused }));
+            let refused = text.split("Refuse { ").skip(1).filter_map(parse_call);
+            self.lines.extend(refused.map(|call| LogLine { t, call, event: LogEvent::Refused }));
         }
     }
 
-    fn listed(&mut self, t: f64, text: &str) {
-        let first = if t < 1.0 { 0.0 } else { t };
+    fn add_instances(&mut self, t: f64, text: &str) {
+        let listed_at = if t < 1.0 { 0.0 } else { t };
         for entry in text.split("Entry { ").skip(1) {
-            let Some((host, size)) = number(entry, "host: ").zip(number(entry, "weight: ")) else { continue };
+            let Some((host, size)) = number_after(entry, "host: ").zip(number_after(entry, "weight: "))
+            else {
+                continue;
+            };
             let zone = between(entry, "zone: Some(", ")").unwrap_or("none").to_string();
-            let known = self.instances.entry(host).or_insert(Instance { size, zone, since: first });
-            // Balancers hear of it one after the other, and their logs are read so too.
-            known.since = known.since.min(first);
+            let known = self.instances.entry(host).or_insert(Instance { size, zone, listed_at });
+            // Each balancer is notified at its own time and the logs are read one by one: the earliest counts.
+            known.listed_at = known.listed_at.min(listed_at);
         }
     }
 
-    /// Reads files, and sorts what they say by time.
-    pub fn files(paths: &[PathBuf]) -> Result<Day, String> {
-        let mut day = Day::default();
+    /// Reads log files and sorts their events by time.
+    pub fn from_files(paths: &[PathBuf]) -> Result<ParsedLogs, String> {
+        let mut logs = ParsedLogs::default();
         for path in paths {
             let bytes = std::fs::read(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-            String::from_utf8_lossy(&bytes).lines().for_each(|line| day.read(line));
+            String::from_utf8_lossy(&bytes).lines().for_each(|line| logs.parse_line(line));
         }
-        day.lines.sort_by(|a, b| a.t.total_cmp(&b.t));
-        if day.lines.is_empty() {
+        logs.lines.sort_by(|a, b| a.t.total_cmp(&b.t));
+        if logs.lines.is_empty() {
             return Err(
-                "no line of these logs is a decision: they are to be written with RUST_LOG=oakdeal=debug"
+                "the logs contain no events of the decision module; write them with RUST_LOG=oakdeal=debug"
                     .into(),
             );
         }
-        Ok(day)
+        Ok(logs)
     }
 }
 
-fn told(text: &str) -> Option<(String, Word)> {
+fn parse_event(text: &str) -> Option<(String, LogEvent)> {
     let name = text.split(['(', ' ']).next()?;
-    let word = match name {
-        "Demand" | "Adopted" => Word::Asks {
+    let event = match name {
+        "Demand" | "Adopted" => LogEvent::Requested {
             key: between(text, "key: Some(\"", "\"")?.to_string(),
             group: between(text, "group: Some(\"", "\"").unwrap_or_default().to_string(),
-            class: number(text, "class: ")?,
-            back: text.contains("returned: true") || text.contains("repeat: true"),
-            at: match name {
-                "Adopted" => Some(number(text, "}, ")?),
+            class: number_after(text, "class: ")?,
+            returned: text.contains("returned: true") || text.contains("repeat: true"),
+            server: match name {
+                "Adopted" => Some(number_after(text, "}, ")?),
                 _ => None,
             },
         },
-        "Opened" => Word::Stands { at: number(text, "host: ")? },
-        "LoadNote" => Word::Load(number(text, "load: ")?),
-        "Finished" => Word::Ends { how: between(text, "outcome: ", ",")?.to_string() },
-        "Vanished" => Word::Vanished,
+        "Opened" => LogEvent::Established { server: number_after(text, "host: ")? },
+        "LoadNote" => LogEvent::Load(number_after(text, "load: ")?),
+        "Finished" => LogEvent::Ended { outcome: between(text, "outcome: ", ",")?.to_string() },
+        "Vanished" => LogEvent::ClientLeft,
         _ => return None,
     };
-    Some((call(text)?, word))
+    Some((parse_call(text)?, event))
 }
--- a/lab/tests/lab.rs
+++ b/lab/tests/lab.rs
@@ -467,17 +467,17 @@
         "2.1 x DEBUG told: Timer { token: 1 }".into(),
         asks(2.6, "c", "kb", 1, true),
     ];
-    let mut day = ledger::read::Day::default();
-    lines.iter().for_each(|line| day.read(line));
-    let book = ledger::reckon(&day, &ledger::Terms::default());
+    let mut day = ledger::read::ParsedLogs::default();
+    lines.iter().for_each(|line| day.parse_line(line));
+    let book = ledger::build_ledger(&day, &ledger::LedgerSettings::default());
     let at =
-        |n: usize| book.looks[n].1.iter().map(|(name, worth)| (name.as_str(), *worth)).collect::<Vec<_>>();
+        |n: usize| book.samples[n].1.iter().map(|(name, worth)| (name.as_str(), *worth)).collect::<Vec<_>>();
     // One connection of 0.2 and its group, three more, on one core; then 0.4 and 1.2.
     assert_eq!(at(0), [("refused, is back", 15.0), ("stands over 3/4", 5.0)]);
     assert_eq!(at(2), [("refused, is back", 15.0), ("stands over 1.3", 5.0)]);
     assert_eq!(at(3), [("broken: Reset", 5.0), ("refused, is back", 15.0)]);
     assert_eq!(book.zones.keys().collect::<Vec<_>>(), ["2", "none"]);
-    assert!(ledger::read::Day::files(&["/nowhere".into()]).is_err());
+    assert!(ledger::read::ParsedLogs::from_files(&["/nowhere".into()]).is_err());
 }
 
 /// Guards against what failed the standing test: groups scattered by clients that are back, so that they cost the fleet
