--- a/lab/src/cli/compare.rs
+++ b/lab/src/cli/compare.rs
@@ -3,7 +3,7 @@
 use super::run::{all, named, under};
 use super::{seeds, table};
 use crate::scenario::plan::stream;
-use crate::virt::decider::Choice;
+use crate::virt::decider::DeciderChoice;
 use clap::Args;
 use rand::RngExt;
 
@@ -53,8 +53,8 @@
         let (mut first, mut second) = (named(&self.scenarios)?, named(&self.scenarios)?);
         under(&mut first, self.a_operator.as_deref())?;
         under(&mut second, self.b_operator.as_deref())?;
-        let a = all(&first, seeds.clone(), &Choice::named(&self.a), None)?;
-        let b = all(&second, seeds, &Choice::named(&self.b), None)?;
+        let a = all(&first, seeds.clone(), &DeciderChoice::from_name(&self.a), None)?;
+        let b = all(&second, seeds, &DeciderChoice::from_name(&self.b), None)?;
         let mut out = table(&[
             "scenario",
             "A",
@@ -94,7 +94,11 @@
             rows(name, a.iter().zip(&b).filter(|(a, _)| a.scenario == *name).collect());
         }
         rows("all", a.iter().zip(&b).collect());
-        println!("A: {}, B: {}\n{out}", Choice::named(&self.a).name(), Choice::named(&self.b).name());
+        println!(
+            "A: {}, B: {}\n{out}",
+            DeciderChoice::from_name(&self.a).name(),
+            DeciderChoice::from_name(&self.b).name()
+        );
         Ok(a.iter().chain(&b).all(|o| o.breaks.is_empty()))
     }
 }
--- a/lab/src/cli/run.rs
+++ b/lab/src/cli/run.rs
@@ -5,7 +5,7 @@
 use crate::score::record::{Entry, EntrySink, Writer};
 use crate::score::service::{RunOutcome, Scorer};
 use crate::virt;
-use crate::virt::decider::Choice;
+use crate::virt::decider::DeciderChoice;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
@@ -62,7 +62,7 @@
 pub fn under(scenarios: &mut [(String, Scenario)], file: Option<&Path>) -> Result<(), String> {
     let Some(file) = file else { return Ok(()) };
     let text = std::fs::read_to_string(file).map_err(|e| format!("cannot read {}: {e}", file.display()))?;
-    crate::virt::decider::operator(&text)?;
+    crate::virt::decider::parse_operator(&text)?;
     for (_, scenario) in scenarios {
         scenario.operator = Some(toml::Spanned::new(0..0, text.clone()));
     }
@@ -86,12 +86,12 @@
     name: &str,
     scenario: &Scenario,
     seed: u64,
-    choice: &Choice,
+    choice: &DeciderChoice,
     record: Option<&Path>,
 ) -> Result<RunOutcome, String> {
     let mut service = Scorer::default();
     let mut writer = writer(record, name, seed)?;
-    virt::play(scenario, name, seed, choice, &mut Both(&mut service, writer.as_mut()))?;
+    virt::simulate(scenario, name, seed, choice, &mut Both(&mut service, writer.as_mut()))?;
     if let Some(writer) = writer {
         writer.finish().map_err(|e| format!("the record cannot be written: {e}"))?;
     }
@@ -136,7 +136,7 @@
 pub fn all(
     scenarios: &[(String, Scenario)],
     seeds: std::ops::RangeInclusive<u64>,
-    choice: &Choice,
+    choice: &DeciderChoice,
     record: Option<&Path>,
 ) -> Result<Vec<RunOutcome>, String> {
     let days: Vec<(&String, &Scenario, u64)> =
@@ -163,7 +163,7 @@
         if let Some(folder) = &self.record {
             std::fs::create_dir_all(folder).map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
         }
-        let choice = Choice::named(&self.decider);
+        let choice = DeciderChoice::from_name(&self.decider);
         let outcomes = if self.live {
             self.live(&scenarios, seeds)?
         } else {
--- a/lab/src/live/site.rs
+++ b/lab/src/live/site.rs
@@ -145,7 +145,7 @@
     });
     let (begin, end) = scenario.span();
     let terms =
-        scenario.operator.as_ref().map(|t| crate::virt::decider::operator(t.get_ref())).transpose()?;
+        scenario.operator.as_ref().map(|t| crate::virt::decider::parse_operator(t.get_ref())).transpose()?;
     let capacity = terms.and_then(|o| o.terms).and_then(|t| t.capacity);
     site.note(RunEvent::Begin {
         scenario: name.into(),
--- a/lab/src/virt/decider.rs
+++ b/lab/src/virt/decider.rs
@@ -1,4 +1,4 @@
-//! Who decides at a balancer.
+//! Deciders: the implementations that take the decisions of a simulated balancer.
 
 use crate::scenario::plan::stream;
 use crate::scenario::Scenario;
@@ -14,9 +14,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The decisions of one balancer. The answers stand in `out`; a contract's refusal comes back at once.
+/// Takes the decisions of one balancer. Actions are appended to `out`; a refusal by contract is returned directly.
 pub trait Decider {
-    /// A request came; `Err` is a contract's refusal with the time of coming back.
+    /// Handles a request; `Err` is a refusal by contract, with the delay after which the client may retry.
     fn demand(
         &mut self,
         now: Micros,
@@ -24,79 +24,79 @@
         team: &str,
         out: &mut Vec<Action>,
     ) -> Result<(), Option<Micros>>;
-    /// Something happened.
-    fn tell(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
-    /// When [`Decider::turn`] is wanted, if nothing happens before.
-    fn due(&mut self, _now: Micros) -> Option<Micros> {
+    /// Handles any other event.
+    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
+    /// Returns when [`Decider::run_due`] is due if no event occurs before.
+    fn next_due(&mut self, _now: Micros) -> Option<Micros> {
         None
     }
-    /// Does what is due without an event.
-    fn turn(&mut self, _now: Micros, _out: &mut Vec<Action>) {}
-    /// Another operator's file is in force.
-    fn operate(&mut self, _now: Micros, _operator: &Operator) {}
-    /// The fleet's plan for zones is this.
-    fn follow(&mut self, _now: Micros, _plan: Option<&Plan>, _out: &mut Vec<Action>) {}
-    /// What is seen of the zones here, where a plan is made of it.
+    /// Runs what is due without an event.
+    fn run_due(&mut self, _now: Micros, _out: &mut Vec<Action>) {}
+    /// Applies new operator settings.
+    fn apply_operator(&mut self, _now: Micros, _operator: &Operator) {}
+    /// Applies the fleet's zone plan.
+    fn follow_plan(&mut self, _now: Micros, _plan: Option<&Plan>, _out: &mut Vec<Action>) {}
+    /// Returns a digest of this balancer's zone observations if it takes part in zone planning.
     fn digest(&mut self, _now: Micros, _out: &mut Vec<Action>) -> Option<Digest> {
         None
     }
 }
 
-/// Which decider a run uses.
+/// The decider that a run uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Choice {
-    /// This build's own.
+pub enum DeciderChoice {
+    /// This build's decision code.
     Own,
-    /// Another build's drill.
+    /// Another build's `oakdeal-drill`, by its path.
     Drill(std::path::PathBuf),
-    /// A server drawn by chance: a yardstick.
+    /// Baseline: a random server.
     Random,
-    /// The server with the fewest connections of this balancer: a yardstick.
+    /// Baseline: the server with the fewest connections of this balancer.
     Least,
 }
 
-impl Choice {
-    /// Its name in results.
+impl DeciderChoice {
+    /// Returns the name that results show.
     pub fn name(&self) -> String {
         match self {
-            Choice::Own => "own".into(),
-            Choice::Drill(path) => {
+            DeciderChoice::Own => "own".into(),
+            DeciderChoice::Drill(path) => {
                 format!("drill {}", path.file_name().unwrap_or_default().to_string_lossy())
             }
-            Choice::Random => "random".into(),
-            Choice::Least => "least connections".into(),
+            DeciderChoice::Random => "random".into(),
+            DeciderChoice::Least => "least connections".into(),
         }
     }
 
-    /// From its name on the command line.
-    pub fn named(text: &str) -> Choice {
+    /// Parses a name from the command line; any unknown name is the path of an `oakdeal-drill`.
+    pub fn from_name(text: &str) -> DeciderChoice {
         match text {
-            "own" => Choice::Own,
-            "random" => Choice::Random,
-            "least" => Choice::Least,
-            path => Choice::Drill(path.into()),
+            "own" => DeciderChoice::Own,
+            "random" => DeciderChoice::Random,
+            "least" => DeciderChoice::Least,
+            path => DeciderChoice::Drill(path.into()),
         }
     }
 }
 
-/// The scenario's operator's file.
-pub fn operator(text: &str) -> Result<Operator, String> {
+/// Parses the text of an operator file.
+pub fn parse_operator(text: &str) -> Result<Operator, String> {
     Operator::parse(Path::new("operator"), text).map_err(|e| e.to_string())
 }
 
-/// Makes the decider of a balancer.
-pub fn decider(
-    choice: &Choice,
+/// Creates the decider of a balancer in a zone.
+pub fn create_decider(
+    choice: &DeciderChoice,
     scenario: &Scenario,
     zone: usize,
     seed: u64,
 ) -> Result<Box<dyn Decider>, String> {
     let settings = scenario.settings(zone);
     Ok(match choice {
-        Choice::Own => {
+        DeciderChoice::Own => {
             let env: Env = serde_json::from_value(settings).map_err(|e| e.to_string())?;
             let (settings, names) = env.translate().map_err(|e| e.to_string())?;
-            let place = BalancerContext {
+            let context = BalancerContext {
                 name: format!("b{seed:x}"),
                 started: 1,
                 zone: scenario.zone[zone].name.clone(),
@@ -108,31 +108,35 @@
             };
             let mut core = Core::new(settings, &names, seed).map_err(|e| e.to_string())?;
             if let Some(text) = &scenario.operator {
-                let operator = operator(text.get_ref())?;
+                let operator = parse_operator(text.get_ref())?;
                 core.contract(0, operator.terms);
                 core.rebalance(0, operator.rebalance);
                 if let Some(terms) = operator.failover {
-                    core.zones(terms, place);
+                    core.zones(terms, context);
                 }
             }
-            Box::new(Own(core))
+            Box::new(OwnDecider(core))
         }
-        Choice::Drill(path) => Box::new(super::drill::Drill::start(path, &settings, seed)?),
-        Choice::Random | Choice::Least => Box::new(Yardstick {
-            least: *choice == Choice::Least,
+        DeciderChoice::Drill(path) => Box::new(super::drill::Drill::start(path, &settings, seed)?),
+        DeciderChoice::Random | DeciderChoice::Least => Box::new(Baseline {
+            least_connections: *choice == DeciderChoice::Least,
             rng: stream(seed, "yardstick"),
-            most: scenario.fleet.attempts as usize,
-            ..Yardstick::new(seed)
+            max_attempts: scenario.fleet.attempts as usize,
+            ..Baseline::new(seed)
         }),
     })
 }
 
-/// An answer leaves this long before the client gives up, as the balancer's do.
-pub const AHEAD: Micros = 15_000;
+/// Time before a client's deadline by which the balancer answers, in microseconds; the same as in the balancer.
+pub const ANSWER_MARGIN: Micros = 15_000;
 
-struct Own(Core);
+/// Interval at which a baseline repeats a failed call of discovery, in microseconds.
+const LIST_RETRY_INTERVAL: Micros = 500_000;
 
-impl Decider for Own {
+/// The decision code of this build, in process.
+struct OwnDecider(Core);
+
+impl Decider for OwnDecider {
     fn demand(
         &mut self,
         now: Micros,
@@ -140,25 +144,25 @@
         team: &str,
         out: &mut Vec<Action>,
     ) -> Result<(), Option<Micros>> {
-        demand.left = demand.left.saturating_sub(AHEAD);
-        self.0.admit(now, &mut demand, Some(team)).map_err(|no| no.after)?;
+        demand.left = demand.left.saturating_sub(ANSWER_MARGIN);
+        self.0.admit(now, &mut demand, Some(team)).map_err(|refusal| refusal.after)?;
         self.0.tell(now, Event::Demand(demand), out);
         Ok(())
     }
 
-    fn tell(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.0.tell(now, event, out);
     }
 
-    fn due(&mut self, now: Micros) -> Option<Micros> {
+    fn next_due(&mut self, now: Micros) -> Option<Micros> {
         self.0.due(now)
     }
 
-    fn turn(&mut self, now: Micros, out: &mut Vec<Action>) {
+    fn run_due(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.0.turn(now, out);
     }
 
-    fn follow(&mut self, now: Micros, plan: Option<&Plan>, out: &mut Vec<Action>) {
+    fn follow_plan(&mut self, now: Micros, plan: Option<&Plan>, out: &mut Vec<Action>) {
         out.extend(self.0.follow(now, plan).0);
     }
 
@@ -168,62 +172,66 @@
         Some(digest)
     }
 
-    fn operate(&mut self, now: Micros, operator: &Operator) {
+    fn apply_operator(&mut self, now: Micros, operator: &Operator) {
         let terms: Option<Terms> = operator.terms.clone();
         self.0.contract(now, terms);
         self.0.rebalance(now, operator.rebalance.clone());
     }
 }
 
-/// A placement that knows nothing of load, health or warmth: what a plain balancer does.
-struct Yardstick {
-    least: bool,
+/// Baseline placement that ignores load, health and warm-up, as a simple load balancer does.
+struct Baseline {
+    least_connections: bool,
     rng: rand_chacha::ChaCha8Rng,
-    most: usize,
+    max_attempts: usize,
     ready: BTreeSet<HostId>,
-    held: BTreeMap<HostId, u32>,
+    connections: BTreeMap<HostId, u32>,
+    /// Servers tried, deadline and current server of each open call.
     calls: BTreeMap<CallId, (Vec<HostId>, Micros, Option<HostId>)>,
-    asked: bool,
+    subscribed: bool,
 }
 
-impl Yardstick {
-    fn new(seed: u64) -> Yardstick {
-        Yardstick {
-            least: false,
+impl Baseline {
+    fn new(seed: u64) -> Baseline {
+        Baseline {
+            least_connections: false,
             rng: stream(seed, "yardstick"),
-            most: 4,
+            max_attempts: 4,
             ready: BTreeSet::new(),
-            held: BTreeMap::new(),
+            connections: BTreeMap::new(),
             calls: BTreeMap::new(),
-            asked: false,
+            subscribed: false,
         }
     }
 
-    fn send(&mut self, now: Micros, call: CallId, out: &mut Vec<Action>) {
-        let Some((tried, by, at)) = self.calls.get_mut(&call) else { return };
-        let fresh: Vec<HostId> = self.ready.iter().copied().filter(|h| !tried.contains(h)).collect();
-        if tried.len() >= self.most || fresh.is_empty() || now >= *by {
+    fn send_attempt(&mut self, now: Micros, call: CallId, out: &mut Vec<Action>) {
+        let Some((tried, deadline, current_host)) = self.calls.get_mut(&call) else { return };
+        let untried: Vec<HostId> = self.ready.iter().copied().filter(|h| !tried.contains(h)).collect();
+        if tried.len() >= self.max_attempts || untried.is_empty() || now >= *deadline {
             self.calls.remove(&call);
             return out.push(Action::Refuse { call, retry_after: None });
         }
-        let host = match self.least {
-            true => *fresh.iter().min_by_key(|h| (self.held.get(h).copied().unwrap_or(0), **h)).expect("one"),
-            false => fresh[self.rng.random_range(0..fresh.len())],
+        let host = match self.least_connections {
+            true => *untried
+                .iter()
+                .min_by_key(|h| (self.connections.get(h).copied().unwrap_or(0), **h))
+                .expect("an untried host exists"),
+            false => untried[self.rng.random_range(0..untried.len())],
         };
         tried.push(host);
-        *at = Some(host);
-        *self.held.entry(host).or_default() += 1;
-        out.push(Action::Send { call, host, patience: *by - now });
+        *current_host = Some(host);
+        *self.connections.entry(host).or_default() += 1;
+        out.push(Action::Send { call, host, patience: *deadline - now });
     }
 
-    fn free(&mut self, call: &CallId) {
+    fn release_host(&mut self, call: &CallId) {
         if let Some(host) = self.calls.get_mut(call).and_then(|c| c.2.take()) {
-            self.held.entry(host).and_modify(|n| *n -= 1);
+            self.connections.entry(host).and_modify(|n| *n -= 1);
         }
     }
 }
 
-impl Decider for Yardstick {
+impl Decider for Baseline {
     fn demand(
         &mut self,
         now: Micros,
@@ -231,13 +239,13 @@
         _team: &str,
         out: &mut Vec<Action>,
     ) -> Result<(), Option<Micros>> {
-        let by = now + demand.left.saturating_sub(AHEAD);
-        self.calls.insert(demand.call.clone(), (Vec::new(), by, None));
-        self.send(now, demand.call, out);
+        let deadline = now + demand.left.saturating_sub(ANSWER_MARGIN);
+        self.calls.insert(demand.call.clone(), (Vec::new(), deadline, None));
+        self.send_attempt(now, demand.call, out);
         Ok(())
     }
 
-    fn tell(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Members { kind, hosts } => {
                 if matches!(kind, ListKind::Full | ListKind::Cached) {
@@ -251,21 +259,21 @@
                 }
                 match kind {
                     ListKind::Cached => out.push(Action::Watch),
-                    ListKind::Failed => out.push(Action::Timer { at: now + 500_000, token: 1 }),
-                    _ => self.asked = true,
+                    ListKind::Failed => out.push(Action::Timer { at: now + LIST_RETRY_INTERVAL, token: 1 }),
+                    _ => self.subscribed = true,
                 }
             }
             Event::Timer { .. } => out.push(Action::Watch),
             Event::Finished { call, ended, outcome, .. } => {
-                self.free(&call);
+                self.release_host(&call);
                 if ended {
                     self.calls.remove(&call);
                 } else if outcome != Outcome::Ok {
-                    self.send(now, call, out);
+                    self.send_attempt(now, call, out);
                 }
             }
             Event::Vanished { call } => {
-                self.free(&call);
+                self.release_host(&call);
                 self.calls.remove(&call);
             }
             _ => {}
--- a/lab/src/virt/engine.rs
+++ b/lab/src/virt/engine.rs
@@ -1,7 +1,7 @@
-//! The world in simulated time.
+//! The simulation's state, its event queue and the execution of the balancers' actions.
 
-use super::common::Common;
-use super::decider::{decider, operator, Choice, Decider};
+use super::common::ZonePlanning;
+use super::decider::{create_decider, parse_operator, Decider, DeciderChoice};
 use crate::model::discovery::Discovery;
 use crate::model::network::Network;
 use crate::model::server::{Job, Server};
@@ -13,179 +13,219 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Between two looks at what the servers served.
-pub(super) const TICK: Micros = 250_000;
+/// Interval at which the service of the servers is sampled, in microseconds.
+pub(super) const SAMPLE_INTERVAL: Micros = 250_000;
+/// One second, in microseconds.
 pub(super) const SECOND: Micros = 1_000_000;
-/// A connection to what answers nothing is given up after this long; the settings say the same.
-pub(super) const CONNECT: Micros = 100_000;
-/// The front notices that a balancer has died after this long.
-pub(super) const NOTICED: Micros = 2_000_000;
-/// From SIGTERM to SIGKILL, and from when on in between clients are moved: as the balancer does it.
-pub(super) const TERM: (Micros, Micros) = (3_700_000, 1_800_000);
-/// Whether or not it arrived, a change of the list counts as notified this long after discovery had it and could be reached.
-pub(super) const NOTIFIED_AFTER: Micros = 6_000_000;
-/// Between two balancers of a rolling restart.
-pub(super) const NEXT: Micros = 3_000_000;
-
+/// Timeout of connecting to a server, in microseconds; the same as in the balancers' settings.
+pub(super) const CONNECT_TIMEOUT: Micros = 100_000;
+/// Time after which the front-end router detects that a balancer has died, in microseconds.
+pub(super) const FAILURE_DETECTION_TIME: Micros = 2_000_000;
+/// Time from SIGTERM to SIGKILL, in microseconds; the same as in the balancer.
+pub(super) const TERM_TO_KILL: Micros = 3_700_000;
+/// Time from SIGTERM to the first move of a client, in microseconds; the same as in the balancer.
+pub(super) const TERM_TO_FIRST_MOVE: Micros = 1_800_000;
+/// Time after which a change of the list counts as notified, whether or not the notification arrived, in microseconds.
+/// It runs from when discovery has the change and is reachable.
+pub(super) const ASSUMED_NOTIFIED_AFTER: Micros = 6_000_000;
+/// Interval between two balancers of a rolling restart, in microseconds.
+pub(super) const RESTART_INTERVAL: Micros = 3_000_000;
+/// Smallest interval between two checks of a balancer for due work, in microseconds; the same as in the balancer.
+const DUE_CHECK_INTERVAL: Micros = 20_000;
+/// Time that a server takes to answer a probe, in microseconds.
+const PROBE_SERVICE_TIME: Micros = 1_000;
+/// Time after the notification of a drain during which new attempts are still allowed, in microseconds.
+const DRAIN_GRACE: Micros = 500_000;
+/// Range of the time until a client sends its next message, in microseconds.
+pub(super) const NEXT_MESSAGE_WITHIN: (f64, f64) = (0.0, 2e6);
+
+/// An event of the simulation. `u32` fields are a client with its request number or a balancer's epoch, `usize` fields
+/// are balancers, servers or faults.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Ev {
-    Come(u32),
-    Reach(Job),
-    Served(usize, u64),
-    Answered(Job, AttemptOutcome),
-    Patience(Job),
-    Deadline(u32, u32),
-    GiveUp(u32, u32),
-    LifeOver(u32),
-    Change(Job),
-    Silent(Job),
-    Broken(Job, bool),
+pub(super) enum SimEvent {
+    ClientArrives(u32),
+    AttemptArrives(Job),
+    SetupCompletes(usize, u64),
+    AttemptAnswered(Job, AttemptOutcome),
+    PatienceExpires(Job),
+    BalancerDeadline(u32, u32),
+    ClientGivesUp(u32, u32),
+    LifetimeEnds(u32),
+    LoadChanges(Job),
+    SilenceDetected(Job),
+    ConnectionBreaks(Job, bool),
     Timer(usize, u32, u64),
-    Due(usize, u32, u64),
-    Probed(usize, u32, usize, Outcome),
-    News(usize, u32, ListKind, Option<Box<(usize, HostState, Micros)>>),
-    Begin(usize),
-    End(usize),
-    Stop(usize, Micros),
-    Leave(usize, u32, Micros),
-    Kill(usize, Micros),
-    Notice(usize),
-    Back(usize),
-    /// A balancer that came back lets clients in, though discovery has not answered it.
-    Listen(usize, u32),
+    DecisionDue(usize, u32, u64),
+    ProbeAnswered(usize, u32, usize, Outcome),
+    ListUpdate(usize, u32, ListKind, Option<Box<(usize, HostState, Micros)>>),
+    FaultBegins(usize),
+    FaultEnds(usize),
+    BalancerStops(usize, Micros),
+    BalancerDrains(usize, u32, Micros),
+    BalancerKilled(usize, Micros),
+    FailureDetected(usize),
+    BalancerRestarts(usize),
+    /// A restarted balancer accepts clients although discovery has not answered it.
+    AcceptsWithoutList(usize, u32),
     /// A change of the list counts as notified at every balancer.
-    Notified(Change),
+    ChangeNotified(ListChange),
     Tick,
 }
 
 /// A change of discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Change {
+pub(super) struct ListChange {
     pub(super) server: usize,
     pub(super) state: HostState,
-    pub(super) at: Micros,
+    pub(super) changed_at: Micros,
 }
 
-pub(super) struct Item {
+/// An event with its time; `sequence` orders events of the same time.
+pub(super) struct QueuedEvent {
     pub(super) at: Micros,
-    pub(super) number: u64,
-    pub(super) ev: Ev,
+    pub(super) sequence: u64,
+    pub(super) event: SimEvent,
 }
 
-impl PartialEq for Item {
-    fn eq(&self, other: &Item) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+impl PartialEq for QueuedEvent {
+    fn eq(&self, other: &QueuedEvent) -> bool {
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Item {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Item {
-    fn partial_cmp(&self, other: &Item) -> Option<std::cmp::Ordering> {
+impl PartialOrd for QueuedEvent {
+    fn partial_cmp(&self, other: &QueuedEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Item {
-    fn cmp(&self, other: &Item) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+impl Ord for QueuedEvent {
+    fn cmp(&self, other: &QueuedEvent) -> std::cmp::Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
+/// Where a client is in its request and connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It waits to come, or will not.
-    Out,
-    /// A balancer has its request.
-    Asking,
-    /// An attempt is under way or at its server.
-    Sent,
-    Stands,
-    Done,
+    /// The client waits until its next request, or will send none.
+    Waiting,
+    /// A balancer has the request and no attempt is in flight.
+    Requested,
+    /// An attempt is in flight or at its server.
+    InFlight,
+    /// The connection is established.
+    Established,
+    /// The client's lifetime has ended.
+    Finished,
 }
 
+/// State of a client.
 pub(super) struct Client {
     pub(super) phase: Phase,
     pub(super) node: usize,
-    pub(super) tries: u32,
-    pub(super) serial: u32,
+    /// Number of requests so far.
+    pub(super) request_number: u32,
+    /// Number of attempts so far, over all requests.
+    pub(super) attempt_serial: u32,
+    /// Number of attempts of the current request.
     pub(super) attempts: u32,
     pub(super) sent_at: Micros,
     pub(super) server: usize,
-    /// Requests in a row that were not served.
-    pub(super) failed: u32,
-    pub(super) again: bool,
+    /// Number of consecutive requests that were not served.
+    pub(super) consecutive_failures: u32,
+    /// Whether it has had an established connection before.
+    pub(super) returning: bool,
     pub(super) load: f64,
-    pub(super) draws: u64,
+    /// State of its random number generator.
+    pub(super) random_state: u64,
 }
 
+/// State of a session server.
 pub(super) struct Host {
     pub(super) model: Server,
     pub(super) up: bool,
-    pub(super) fallen: bool,
+    /// Whether it failed by overload while cold; it then stays down.
+    pub(super) overloaded: bool,
     pub(super) draining: bool,
-    pub(super) silent: Option<Micros>,
-    pub(super) cut: bool,
-    pub(super) errors: f64,
-    pub(super) stamp: u64,
-    /// Standing connections by team and class, and by balancer.
-    pub(super) standing: Vec<u32>,
-    pub(super) by_node: Vec<u32>,
-    pub(super) slow: Vec<bool>,
+    /// Since when it accepts requests and answers nothing.
+    pub(super) silent_since: Option<Micros>,
+    /// Whether the network to it is cut.
+    pub(super) severed: bool,
+    /// Share of new requests that it answers with an error.
+    pub(super) error_share: f64,
+    /// Incremented when the next set-up completion is rescheduled, which invalidates earlier events.
+    pub(super) setup_version: u64,
+    /// Number of established connections by team and class.
+    pub(super) established: Vec<u32>,
+    /// Number of established connections by balancer.
+    pub(super) connections_by_node: Vec<u32>,
+    /// Whether the last delay reported to each balancer was slow.
+    pub(super) reported_slow: Vec<bool>,
 }
 
+/// State of a balancer.
 pub(super) struct Node {
     pub(super) decider: Box<dyn Decider>,
     pub(super) up: bool,
-    /// The front deals clients out to it.
-    pub(super) open: bool,
+    /// Whether the front-end router sends clients to it.
+    pub(super) in_rotation: bool,
+    /// Incremented when it dies, which invalidates events of the earlier process.
     pub(super) epoch: u32,
     pub(super) zone: usize,
-    pub(super) watching: bool,
-    /// It came back and lets nobody in until discovery has answered or failed.
+    /// Whether discovery notifies it of changes.
+    pub(super) subscribed: bool,
+    /// Whether it has restarted and accepts no clients until discovery has answered or failed.
     pub(super) waits_for_list: bool,
-    /// The list as it was last told, which it has again after a restart.
-    pub(super) list: BTreeMap<usize, Listed>,
-    pub(super) due: Option<Micros>,
-    pub(super) stamp: u64,
+    /// Its latest instance list, which it has again after a restart.
+    pub(super) list: BTreeMap<usize, ListedEntry>,
+    /// Time of the next scheduled check for due work.
+    pub(super) due_at: Option<Micros>,
+    /// Incremented when that check is rescheduled, which invalidates earlier events.
+    pub(super) due_version: u64,
 }
 
-/// An entry of a balancer's list, and when it was last told.
+/// An entry of a balancer's list, and when it was last notified of it.
 #[derive(Clone)]
-pub(super) struct Listed {
+pub(super) struct ListedEntry {
     pub(super) entry: oakdeal::Entry,
-    pub(super) learned: Micros,
+    pub(super) learned_at: Micros,
 }
 
-/// The world.
-pub(super) struct World<'a> {
+/// State of a simulation.
+pub(super) struct Simulation<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) plan: &'a Plan,
-    pub(super) choice: &'a Choice,
+    pub(super) choice: &'a DeciderChoice,
     pub(super) seed: u64,
     pub(super) now: Micros,
-    pub(super) queue: BinaryHeap<Reverse<Item>>,
-    pub(super) number: u64,
+    pub(super) queue: BinaryHeap<Reverse<QueuedEvent>>,
+    pub(super) last_sequence: u64,
     pub(super) hosts: Vec<Host>,
     pub(super) nodes: Vec<Node>,
     pub(super) clients: Vec<Client>,
     pub(super) network: Network,
     pub(super) discovery: Discovery,
-    pub(super) lag: rand_chacha::ChaCha8Rng,
-    pub(super) reader: &'a mut dyn EntrySink,
-    /// Clients that want a connection, by team and class.
-    pub(super) wants: Vec<u32>,
-    pub(super) asked: Vec<f64>,
-    pub(super) served: Vec<f64>,
+    pub(super) notification_rng: rand_chacha::ChaCha8Rng,
+    pub(super) sink: &'a mut dyn EntrySink,
+    /// Number of clients that want a connection, by team and class.
+    pub(super) wanted: Vec<u32>,
+    /// Worth asked for in the current second, by team and class.
+    pub(super) asked_worth: Vec<f64>,
+    /// Worth served in the current second, by team and class.
+    pub(super) served_worth: Vec<f64>,
     pub(super) ticks: u64,
     pub(super) counts: Counts,
-    /// The fleet's plan for zones, where the scenario's operator wants one.
-    pub(super) common: Option<Common>,
+    /// The fleet's zone plan, if the scenario's operator settings ask for one.
+    pub(super) zone_planning: Option<ZonePlanning>,
 }
 
+/// Counts on which the penalties are based.
 #[derive(Default)]
 pub(super) struct Counts {
-    pub(super) first: u64,
+    pub(super) clients: u64,
     pub(super) sends: u64,
     pub(super) crossings: u64,
     pub(super) moves: u64,
@@ -194,41 +234,41 @@
     pub(super) offered: f64,
 }
 
-/// The number that balancers know a server by.
+/// Returns the host number by which balancers know a server.
 pub fn host_id(server: usize) -> HostId {
-    // Spread over the numbers, as real ids are; one to one (an odd factor).
+    // Spreads the ids over the whole range, as real ids are; an odd factor makes the mapping one-to-one.
     (server as u32 + 1).wrapping_mul(0x9e37_79b1)
 }
 
 pub(super) fn server_of(host: HostId) -> usize {
-    // The inverse of that factor modulo 2^32.
+    // The inverse of the factor in `host_id` modulo 2^32.
     host.wrapping_mul(0x0e8b_2f51).wrapping_sub(1) as usize
 }
 
-/// Plays a day; all that happens is shown to the reader.
-pub fn play(
+/// Generates the plan of a seed and simulates it; passes every event to `sink`.
+pub fn simulate(
     scenario: &Scenario,
     name: &str,
     seed: u64,
-    choice: &Choice,
-    reader: &mut dyn EntrySink,
+    choice: &DeciderChoice,
+    sink: &mut dyn EntrySink,
 ) -> Result<(), String> {
     let plan = Plan::draw(scenario, seed);
-    play_plan(scenario, name, seed, &plan, choice, reader, None)
+    simulate_plan(scenario, name, seed, &plan, choice, sink, None)
 }
 
-/// Puts a decider of the caller's own in the place of another, or round it.
-pub type Wrap<'a> = &'a dyn Fn(Box<dyn Decider>) -> Box<dyn Decider>;
+/// Replaces or wraps a balancer's decider.
+pub type DeciderWrapper<'a> = &'a dyn Fn(Box<dyn Decider>) -> Box<dyn Decider>;
 
-/// The same with a plan that is drawn already, and deciders of the caller's own where it has some.
-pub fn play_plan(
+/// Simulates a given plan, with deciders replaced or wrapped by the caller if `wrapper` is given.
+pub fn simulate_plan(
     scenario: &Scenario,
     name: &str,
     seed: u64,
     plan: &Plan,
-    choice: &Choice,
-    reader: &mut dyn EntrySink,
-    own: Option<Wrap>,
+    choice: &DeciderChoice,
+    sink: &mut dyn EntrySink,
+    wrapper: Option<DeciderWrapper>,
 ) -> Result<(), String> {
     let load = scenario.mean_load();
     let cells = scenario.team.len() * scenario.class.len();
@@ -242,84 +282,84 @@
     });
     let mut nodes = Vec::new();
     for (i, &zone) in plan.balancers.iter().enumerate() {
-        let made = decider(choice, scenario, zone, seed ^ (i as u64 + 1) << 32)?;
-        let decider = match own {
-            Some(own) => own(made),
-            None => made,
+        let decider = create_decider(choice, scenario, zone, seed ^ (i as u64 + 1) << 32)?;
+        let decider = match wrapper {
+            Some(wrap) => wrap(decider),
+            None => decider,
         };
         nodes.push(Node {
             decider,
             up: true,
-            open: true,
+            in_rotation: true,
             epoch: 0,
             zone,
-            watching: false,
+            subscribed: false,
             waits_for_list: false,
             list: BTreeMap::new(),
-            due: None,
-            stamp: 0,
+            due_at: None,
+            due_version: 0,
         });
     }
-    let host = |m: &crate::scenario::plan::Machine| Host {
+    let new_host = |m: &crate::scenario::plan::Machine| Host {
         model: Server::new(m.clone(), &scenario.fleet, load),
         up: true,
-        fallen: false,
+        overloaded: false,
         draining: false,
-        silent: None,
-        cut: false,
-        errors: 0.0,
-        stamp: 0,
-        standing: vec![0; cells],
-        by_node: vec![0; plan.balancers.len()],
-        slow: vec![false; plan.balancers.len()],
+        silent_since: None,
+        severed: false,
+        error_share: 0.0,
+        setup_version: 0,
+        established: vec![0; cells],
+        connections_by_node: vec![0; plan.balancers.len()],
+        reported_slow: vec![false; plan.balancers.len()],
     };
-    let client = |c: &crate::scenario::plan::Client| Client {
-        phase: Phase::Out,
+    let new_client = |c: &crate::scenario::plan::Client| Client {
+        phase: Phase::Waiting,
         node: 0,
-        tries: 0,
-        serial: 0,
+        request_number: 0,
+        attempt_serial: 0,
         attempts: 0,
         sent_at: 0,
         server: 0,
-        failed: 0,
-        again: false,
+        consecutive_failures: 0,
+        returning: false,
         load: c.load,
-        draws: c.seed,
+        random_state: c.seed,
     };
-    let mut world = World {
+    let mut simulation = Simulation {
         scenario,
         plan,
         choice,
         seed,
         now: 0,
         queue: BinaryHeap::new(),
-        number: 0,
-        hosts: plan.servers.iter().map(host).collect(),
+        last_sequence: 0,
+        hosts: plan.servers.iter().map(new_host).collect(),
         nodes,
-        clients: plan.clients.iter().map(client).collect(),
+        clients: plan.clients.iter().map(new_client).collect(),
         network: Network::new(&scenario.fleet),
         discovery: Discovery::new(entries.collect(), scenario.fleet.call.0),
-        lag: stream(seed, "lag"),
-        reader,
-        wants: vec![0; cells],
-        asked: vec![0.0; cells],
-        served: vec![0.0; cells],
+        notification_rng: stream(seed, "lag"),
+        sink,
+        wanted: vec![0; cells],
+        asked_worth: vec![0.0; cells],
+        served_worth: vec![0.0; cells],
         ticks: 0,
         counts: Counts::default(),
-        common: Common::new(scenario, choice)?,
+        zone_planning: ZonePlanning::new(scenario, choice)?,
     };
-    world.run(name)
+    simulation.run(name)
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn run(&mut self, name: &str) -> Result<(), String> {
         let (begin, end) = self.scenario.span();
         let terms: Option<Terms> = match (&self.scenario.operator, self.choice) {
-            (Some(text), Choice::Own) => operator(text.get_ref())?.terms,
+            (Some(text), DeciderChoice::Own) => parse_operator(text.get_ref())?.terms,
             _ => None,
         };
         let capacity = terms.and_then(|t| t.capacity).map(|c| (c / self.nodes.len() as f64) as u64);
-        self.note(RunEvent::Begin {
+        self.record(RunEvent::Begin {
             scenario: name.into(),
             title: self.scenario.title.clone(),
             seed: self.seed,
@@ -330,346 +370,361 @@
             balancers: self.nodes.len(),
             score_from: begin,
             end,
-            drain_grace: 500_000,
+            drain_grace: DRAIN_GRACE,
             fall_time: self.scenario.fleet.fall_time.0,
             capacity,
         });
-        for n in 0..self.nodes.len() {
-            let listed = |entry: oakdeal::Entry| (server_of(entry.host), Listed { entry, learned: 0 });
-            self.nodes[n].list = self.discovery.list().into_iter().map(listed).collect();
-            self.known(n);
+        for node_id in 0..self.nodes.len() {
+            let listed =
+                |entry: oakdeal::Entry| (server_of(entry.host), ListedEntry { entry, learned_at: 0 });
+            self.nodes[node_id].list = self.discovery.list().into_iter().map(listed).collect();
+            self.load_cached_list(node_id);
         }
         for (i, strike) in self.plan.strikes.iter().enumerate() {
-            self.at(strike.from, Ev::Begin(i));
+            self.schedule(strike.from, SimEvent::FaultBegins(i));
             if strike.fault.length.0 > 0 {
-                self.at(strike.until, Ev::End(i));
+                self.schedule(strike.until, SimEvent::FaultEnds(i));
             }
         }
-        self.at(TICK, Ev::Tick);
-        // Those who come for the first time stand in the plan in order: a queue of their own, and before what the
-        // other has for the same instant.
-        let (plan, mut next) = (self.plan, 0);
+        self.schedule(SAMPLE_INTERVAL, SimEvent::Tick);
+        // First arrivals are in order in the plan, which serves as a second queue. At equal times an arrival goes
+        // before the events of the other queue.
+        let (plan, mut next_client) = (self.plan, 0);
         loop {
             let due = self.queue.peek().map_or(Micros::MAX, |Reverse(item)| item.at);
-            match plan.clients.get(next).filter(|c| c.at <= due) {
-                Some(c) if c.at <= end => {
-                    self.now = c.at;
-                    next += 1;
-                    self.come(next as u32 - 1);
+            match plan.clients.get(next_client).filter(|c| c.at <= due) {
+                Some(client) if client.at <= end => {
+                    self.now = client.at;
+                    next_client += 1;
+                    self.client_arrives(next_client as u32 - 1);
                 }
                 _ if due > end => break,
                 _ => {
                     let Some(Reverse(item)) = self.queue.pop() else { break };
                     self.now = item.at;
-                    self.step(item.ev);
+                    self.handle_event(item.event);
                 }
             }
         }
         self.now = end;
-        let c = std::mem::take(&mut self.counts);
-        self.note(RunEvent::End {
-            first: c.first,
-            sends: c.sends,
-            crossings: c.crossings,
-            moves: c.moves,
-            probes: c.probes,
-            wasted: c.wasted,
-            offered: c.offered,
+        let counts = std::mem::take(&mut self.counts);
+        self.record(RunEvent::End {
+            first: counts.clients,
+            sends: counts.sends,
+            crossings: counts.crossings,
+            moves: counts.moves,
+            probes: counts.probes,
+            wasted: counts.wasted,
+            offered: counts.offered,
         });
         Ok(())
     }
 
-    pub(super) fn at(&mut self, at: Micros, ev: Ev) {
-        self.number += 1;
-        self.queue.push(Reverse(Item { at: at.max(self.now), number: self.number, ev }));
+    pub(super) fn schedule(&mut self, at: Micros, event: SimEvent) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse(QueuedEvent { at: at.max(self.now), sequence: self.last_sequence, event }));
     }
 
-    pub(super) fn note(&mut self, what: RunEvent) {
-        self.reader.accept(&Entry { t: self.now, what });
+    pub(super) fn record(&mut self, what: RunEvent) {
+        self.sink.accept(&Entry { t: self.now, what });
     }
 
-    /// A draw of a client's own, from 0 to 1.
-    pub(super) fn draw(&mut self, c: u32) -> f64 {
-        draw(&mut self.clients[c as usize].draws)
+    /// Draws a random number from 0 to 1 from the client's own generator.
+    pub(super) fn draw(&mut self, client_id: u32) -> f64 {
+        draw(&mut self.clients[client_id as usize].random_state)
     }
 
-    pub(super) fn between(&mut self, c: u32, (low, high): (f64, f64)) -> Micros {
-        (low + (high - low) * self.draw(c)) as Micros
+    pub(super) fn draw_between(&mut self, client_id: u32, (low, high): (f64, f64)) -> Micros {
+        (low + (high - low) * self.draw(client_id)) as Micros
     }
 
-    pub(super) fn call(&self, c: u32) -> CallId {
-        format!("c{c}-{}", self.clients[c as usize].tries).as_str().into()
+    pub(super) fn call_id(&self, client_id: u32) -> CallId {
+        format!("c{client_id}-{}", self.clients[client_id as usize].request_number).as_str().into()
     }
 
-    pub(super) fn cell(&self, c: u32) -> usize {
-        let p = &self.plan.clients[c as usize];
+    pub(super) fn cell(&self, client_id: u32) -> usize {
+        let p = &self.plan.clients[client_id as usize];
         p.team * self.scenario.class.len() + p.class
     }
 
-    pub(super) fn way(&self, node: usize, server: usize) -> Micros {
+    pub(super) fn one_way_delay(&self, node: usize, server: usize) -> Micros {
         self.network.one_way_delay(self.nodes[node].zone, self.plan.servers[server].zone)
     }
 
-    /// A balancer begins with the list as it last had it, which may be old.
-    pub(super) fn known(&mut self, n: usize) {
-        let list = self.nodes[n].list.clone();
-        for (&server, Listed { entry, learned }) in &list {
-            let (state, learned) = (state_letter(entry.state), *learned);
-            self.note(RunEvent::StateCached { node: n, server, state, learned });
+    /// Starts a balancer with its cached list, which may be outdated.
+    pub(super) fn load_cached_list(&mut self, node_id: usize) {
+        let list = self.nodes[node_id].list.clone();
+        for (&server, ListedEntry { entry, learned_at }) in &list {
+            let (state, learned) = (state_letter(entry.state), *learned_at);
+            self.record(RunEvent::StateCached { node: node_id, server, state, learned });
         }
         let hosts = list.into_values().map(|listed| listed.entry).collect();
-        self.tell(n, Event::Members { kind: ListKind::Cached, hosts });
+        self.deliver_event(node_id, Event::Members { kind: ListKind::Cached, hosts });
     }
 
-    pub(super) fn tell(&mut self, n: usize, event: Event) {
+    pub(super) fn deliver_event(&mut self, node_id: usize, event: Event) {
         let mut out = Vec::new();
-        self.nodes[n].decider.tell(self.now, event, &mut out);
-        self.act(n, out);
+        self.nodes[node_id].decider.handle_event(self.now, event, &mut out);
+        self.perform_actions(node_id, out);
     }
 
-    pub(super) fn act(&mut self, n: usize, actions: Vec<Action>) {
+    pub(super) fn perform_actions(&mut self, node_id: usize, actions: Vec<Action>) {
         for action in actions {
-            self.do_one(n, action);
+            self.perform_action(node_id, action);
         }
         let now = self.now;
-        let node = &mut self.nodes[n];
-        if let Some(due) = node.decider.due(now) {
-            // As the balancer looks: not more often than each 20 ms.
-            let due = due.max(now + 20_000);
-            if node.due.is_none_or(|at| due < at) {
-                node.stamp += 1;
-                node.due = Some(due);
-                let (epoch, stamp) = (node.epoch, node.stamp);
-                self.at(due, Ev::Due(n, epoch, stamp));
+        let node = &mut self.nodes[node_id];
+        if let Some(due) = node.decider.next_due(now) {
+            let due = due.max(now + DUE_CHECK_INTERVAL);
+            if node.due_at.is_none_or(|at| due < at) {
+                node.due_version += 1;
+                node.due_at = Some(due);
+                let (epoch, version) = (node.epoch, node.due_version);
+                self.schedule(due, SimEvent::DecisionDue(node_id, epoch, version));
             }
         }
     }
 
-    /// The client whose request a call is, if it is still that one.
-    pub(super) fn client_of(&self, n: usize, call: &CallId) -> Option<u32> {
-        let (c, tries) = call.0.strip_prefix('c')?.split_once('-')?;
-        let (c, tries): (u32, u32) = (c.parse().ok()?, tries.parse().ok()?);
-        let client = self.clients.get(c as usize)?;
-        (client.tries == tries && client.node == n).then_some(c)
+    /// Returns the client of a call if the call is still its current request at this balancer.
+    pub(super) fn client_of(&self, node_id: usize, call: &CallId) -> Option<u32> {
+        let (client_id, number) = call.0.strip_prefix('c')?.split_once('-')?;
+        let (client_id, number): (u32, u32) = (client_id.parse().ok()?, number.parse().ok()?);
+        let client = self.clients.get(client_id as usize)?;
+        (client.request_number == number && client.node == node_id).then_some(client_id)
     }
 
-    pub(super) fn do_one(&mut self, n: usize, action: Action) {
+    pub(super) fn perform_action(&mut self, node_id: usize, action: Action) {
         match action {
             Action::Send { call, host, patience } => {
                 let server = server_of(host);
-                let crosses = self.nodes[n].zone != self.plan.servers[server].zone;
+                let crosses = self.nodes[node_id].zone != self.plan.servers[server].zone;
                 self.counts.sends += 1;
                 self.counts.crossings += u64::from(crosses);
-                self.note(RunEvent::Sent { node: n, call: call.0.to_string(), server, crosses });
-                let Some(c) = self.client_of(n, &call) else { return };
+                self.record(RunEvent::Sent { node: node_id, call: call.0.to_string(), server, crosses });
+                let Some(client_id) = self.client_of(node_id, &call) else { return };
                 let now = self.now;
-                let client = &mut self.clients[c as usize];
-                if client.phase == Phase::Stands || client.phase == Phase::Done || client.phase == Phase::Out
+                let client = &mut self.clients[client_id as usize];
+                if client.phase == Phase::Established
+                    || client.phase == Phase::Finished
+                    || client.phase == Phase::Waiting
                 {
                     return;
                 }
-                client.serial += 1;
+                client.attempt_serial += 1;
                 client.attempts += 1;
-                (client.phase, client.server, client.sent_at) = (Phase::Sent, server, now);
-                let job = (c, client.serial);
-                let way = self.way(n, server);
-                self.at(now + way, Ev::Reach(job));
-                self.at(now.saturating_add(patience), Ev::Patience(job));
+                (client.phase, client.server, client.sent_at) = (Phase::InFlight, server, now);
+                let job = (client_id, client.attempt_serial);
+                let delay = self.one_way_delay(node_id, server);
+                self.schedule(now + delay, SimEvent::AttemptArrives(job));
+                self.schedule(now.saturating_add(patience), SimEvent::PatienceExpires(job));
+            }
+            Action::Refuse { call, retry_after } => {
+                self.final_answer(node_id, &call, true, retry_after, false)
             }
-            Action::Refuse { call, retry_after } => self.answered(n, &call, true, retry_after, false),
-            Action::Fail { call } => self.answered(n, &call, false, None, false),
+            Action::Fail { call } => self.final_answer(node_id, &call, false, None, false),
             Action::Move { call } => {
-                let Some(c) = self.client_of(n, &call) else { return };
-                if self.clients[c as usize].phase == Phase::Stands {
-                    self.moved(c);
+                let Some(client_id) = self.client_of(node_id, &call) else { return };
+                if self.clients[client_id as usize].phase == Phase::Established {
+                    self.move_client(client_id);
                 }
             }
             Action::Timer { at, token } => {
-                let epoch = self.nodes[n].epoch;
-                self.at(at, Ev::Timer(n, epoch, token));
+                let epoch = self.nodes[node_id].epoch;
+                self.schedule(at, SimEvent::Timer(node_id, epoch, token));
             }
             Action::Probe { host } => {
                 self.counts.probes += 1;
-                let (server, epoch) = (server_of(host), self.nodes[n].epoch);
-                let way = 2 * self.way(n, server);
-                let h = &self.hosts[server];
+                let (server, epoch) = (server_of(host), self.nodes[node_id].epoch);
+                let delay = 2 * self.one_way_delay(node_id, server);
+                let target = &self.hosts[server];
                 let (after, outcome) = match () {
-                    () if h.cut => (CONNECT, Outcome::ConnectFailed),
-                    () if !h.up => (way, Outcome::ConnectFailed),
-                    () if h.silent.is_some() => (CONNECT, Outcome::Timeout),
-                    () => (way + 1_000, Outcome::Ok),
+                    () if target.severed => (CONNECT_TIMEOUT, Outcome::ConnectFailed),
+                    () if !target.up => (delay, Outcome::ConnectFailed),
+                    () if target.silent_since.is_some() => (CONNECT_TIMEOUT, Outcome::Timeout),
+                    () => (delay + PROBE_SERVICE_TIME, Outcome::Ok),
                 };
-                self.note(RunEvent::Probed { node: n, server });
-                self.at(self.now + after, Ev::Probed(n, epoch, server, outcome));
+                self.record(RunEvent::Probed { node: node_id, server });
+                self.schedule(self.now + after, SimEvent::ProbeAnswered(node_id, epoch, server, outcome));
             }
             Action::Watch => {
-                let epoch = self.nodes[n].epoch;
-                let called = self.discovery.enqueue_call(self.now);
-                self.note(RunEvent::DiscoveryCalled { node: n, answered: called.is_ok() });
-                match called {
-                    Ok(at) => self.at(at, Ev::News(n, epoch, ListKind::Full, None)),
-                    Err(at) => self.at(at, Ev::News(n, epoch, ListKind::Failed, None)),
+                let epoch = self.nodes[node_id].epoch;
+                let answer = self.discovery.enqueue_call(self.now);
+                self.record(RunEvent::DiscoveryCalled { node: node_id, answered: answer.is_ok() });
+                match answer {
+                    Ok(at) => self.schedule(at, SimEvent::ListUpdate(node_id, epoch, ListKind::Full, None)),
+                    Err(at) => {
+                        self.schedule(at, SimEvent::ListUpdate(node_id, epoch, ListKind::Failed, None))
+                    }
                 }
             }
         }
     }
 
-    /// The balancer's own final answer.
-    pub(super) fn answered(
+    /// Handles a balancer's final answer: a refusal or a failure.
+    pub(super) fn final_answer(
         &mut self,
-        n: usize,
+        node_id: usize,
         call: &CallId,
         refused: bool,
         after: Option<Micros>,
         contract: bool,
     ) {
-        self.note(RunEvent::Answer { node: n, call: call.0.to_string(), refused, after, contract });
-        let Some(c) = self.client_of(n, call) else { return };
-        if matches!(self.clients[c as usize].phase, Phase::Asking | Phase::Sent) {
-            self.again(c, after);
+        self.record(RunEvent::Answer { node: node_id, call: call.0.to_string(), refused, after, contract });
+        let Some(client_id) = self.client_of(node_id, call) else { return };
+        if matches!(self.clients[client_id as usize].phase, Phase::Requested | Phase::InFlight) {
+            self.schedule_retry(client_id, after);
         }
     }
 
-    /// A client was not served: it comes again, later each time, and not before it was told to.
-    pub(super) fn again(&mut self, c: u32, told: Option<Micros>) {
-        let chance = self.draw(c);
-        let client = &mut self.clients[c as usize];
-        client.phase = Phase::Out;
-        client.failed += 1;
-        let wait = wait(client.failed, chance).max(told.unwrap_or(0));
-        self.at(self.now + wait, Ev::Come(c));
+    /// Schedules the retry of a client that was not served: with exponential backoff, and not before the time that the
+    /// answer asked for.
+    pub(super) fn schedule_retry(&mut self, client_id: u32, retry_after: Option<Micros>) {
+        let chance = self.draw(client_id);
+        let client = &mut self.clients[client_id as usize];
+        client.phase = Phase::Waiting;
+        client.consecutive_failures += 1;
+        let wait = wait(client.consecutive_failures, chance).max(retry_after.unwrap_or(0));
+        self.schedule(self.now + wait, SimEvent::ClientArrives(client_id));
     }
 
-    /// A connection that stood has ended for its client, which comes again.
-    pub(super) fn returns(&mut self, c: u32, within: (f64, f64)) {
-        let wait = self.between(c, within);
-        let client = &mut self.clients[c as usize];
-        (client.phase, client.again) = (Phase::Out, true);
-        self.at(self.now + wait, Ev::Come(c));
+    /// Schedules the return of a client whose established connection has ended.
+    pub(super) fn schedule_return(&mut self, client_id: u32, within: (f64, f64)) {
+        let wait = self.draw_between(client_id, within);
+        let client = &mut self.clients[client_id as usize];
+        (client.phase, client.returning) = (Phase::Waiting, true);
+        self.schedule(self.now + wait, SimEvent::ClientArrives(client_id));
     }
 
-    /// A standing connection ends: at its server, in the record and at its balancer.
-    pub(super) fn over(&mut self, c: u32, outcome: Outcome) {
+    /// Ends an established connection at its server, in the record and at its balancer.
+    pub(super) fn end_connection(&mut self, client_id: u32, outcome: Outcome) {
         let (server, node, serial) = {
-            let client = &self.clients[c as usize];
-            (client.server, client.node, client.serial)
+            let client = &self.clients[client_id as usize];
+            (client.server, client.node, client.attempt_serial)
         };
-        self.off(c, server, (c, serial));
-        let (call, broken) = (self.call(c), outcome == Outcome::Reset);
-        self.note(RunEvent::ConnectionEnded { node, call: call.0.to_string(), broken });
-        self.finished(c, outcome, true);
+        self.remove_connection(client_id, server, (client_id, serial));
+        let (call, broken) = (self.call_id(client_id), outcome == Outcome::Reset);
+        self.record(RunEvent::ConnectionEnded { node, call: call.0.to_string(), broken });
+        self.report_finished(client_id, outcome, true);
     }
 
-    pub(super) fn off(&mut self, c: u32, server: usize, job: Job) {
-        let cell = self.cell(c);
-        let (now, node) = (self.now, self.clients[c as usize].node);
-        let h = &mut self.hosts[server];
-        h.model.remove(now, job);
-        h.standing[cell] = h.standing[cell].saturating_sub(1);
-        h.by_node[node] = h.by_node[node].saturating_sub(1);
-        self.look(server);
+    pub(super) fn remove_connection(&mut self, client_id: u32, server: usize, job: Job) {
+        let cell = self.cell(client_id);
+        let (now, node) = (self.now, self.clients[client_id as usize].node);
+        let host = &mut self.hosts[server];
+        host.model.remove(now, job);
+        host.established[cell] = host.established[cell].saturating_sub(1);
+        host.connections_by_node[node] = host.connections_by_node[node].saturating_sub(1);
+        self.reschedule_setup(server);
     }
 
-    pub(super) fn finished(&mut self, c: u32, outcome: Outcome, ended: bool) {
-        let client = &self.clients[c as usize];
-        let (n, attempt, host) = (client.node, client.attempts.saturating_sub(1), host_id(client.server));
+    pub(super) fn report_finished(&mut self, client_id: u32, outcome: Outcome, ended: bool) {
+        let client = &self.clients[client_id as usize];
+        let (node_id, attempt, host) =
+            (client.node, client.attempts.saturating_sub(1), host_id(client.server));
         let elapsed = self.now - client.sent_at;
-        let call = self.call(c);
-        self.tell(n, Event::Finished { call, attempt, host, outcome, elapsed, ended });
+        let call = self.call_id(client_id);
+        self.deliver_event(node_id, Event::Finished { call, attempt, host, outcome, elapsed, ended });
     }
 
-    pub(super) fn moved(&mut self, c: u32) {
-        let (node, call) = (self.clients[c as usize].node, self.call(c));
+    pub(super) fn move_client(&mut self, client_id: u32) {
+        let (node, call) = (self.clients[client_id as usize].node, self.call_id(client_id));
         self.counts.moves += 1;
-        self.note(RunEvent::Moved { node, call: call.0.to_string() });
-        self.clients[c as usize].phase = Phase::Out;
-        self.over(c, Outcome::Cancelled);
-        self.returns(c, MOVE);
+        self.record(RunEvent::Moved { node, call: call.0.to_string() });
+        self.clients[client_id as usize].phase = Phase::Waiting;
+        self.end_connection(client_id, Outcome::Cancelled);
+        self.schedule_return(client_id, MOVE);
     }
 
-    /// When a server's next set-up ends may have changed.
-    pub(super) fn look(&mut self, server: usize) {
-        let h = &mut self.hosts[server];
-        h.stamp += 1;
-        let (next, stamp) = (h.model.next_setup_completion(), h.stamp);
+    /// Reschedules the completion of a server's next set-up.
+    pub(super) fn reschedule_setup(&mut self, server: usize) {
+        let host = &mut self.hosts[server];
+        host.setup_version += 1;
+        let (next, version) = (host.model.next_setup_completion(), host.setup_version);
         if let Some(at) = next {
-            self.at(at, Ev::Served(server, stamp));
+            self.schedule(at, SimEvent::SetupCompletes(server, version));
         }
     }
 
-    pub(super) fn step(&mut self, ev: Ev) {
-        match ev {
-            Ev::Come(c) => self.come(c),
-            Ev::Reach(job) => self.reach(job),
-            Ev::Served(server, stamp) => self.set_up(server, stamp),
-            Ev::Answered(job, how) => self.result(job, how),
-            Ev::Patience(job) => {
-                if self.out(job) {
-                    self.result(job, AttemptOutcome::Timeout);
+    pub(super) fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::ClientArrives(client_id) => self.client_arrives(client_id),
+            SimEvent::AttemptArrives(job) => self.attempt_arrives(job),
+            SimEvent::SetupCompletes(server, version) => self.complete_setups(server, version),
+            SimEvent::AttemptAnswered(job, how) => self.attempt_finished(job, how),
+            SimEvent::PatienceExpires(job) => {
+                if self.is_in_flight(job) {
+                    self.attempt_finished(job, AttemptOutcome::Timeout);
                 }
             }
-            Ev::Deadline(c, tries) => self.deadline(c, tries, true),
-            Ev::GiveUp(c, tries) => self.deadline(c, tries, false),
-            Ev::LifeOver(c) => self.life_over(c),
-            Ev::Change(job) => self.change(job),
-            Ev::Silent((c, serial)) => {
-                let client = &self.clients[c as usize];
-                let silent = self.hosts[client.server].silent.is_some() || self.hosts[client.server].cut;
-                if client.phase == Phase::Stands && client.serial == serial && silent {
-                    self.moved(c);
+            SimEvent::BalancerDeadline(client_id, request_number) => {
+                self.deadline_reached(client_id, request_number, true)
+            }
+            SimEvent::ClientGivesUp(client_id, request_number) => {
+                self.deadline_reached(client_id, request_number, false)
+            }
+            SimEvent::LifetimeEnds(client_id) => self.lifetime_ends(client_id),
+            SimEvent::LoadChanges(job) => self.load_changes(job),
+            SimEvent::SilenceDetected((client_id, serial)) => {
+                let client = &self.clients[client_id as usize];
+                let silent =
+                    self.hosts[client.server].silent_since.is_some() || self.hosts[client.server].severed;
+                if client.phase == Phase::Established && client.attempt_serial == serial && silent {
+                    self.move_client(client_id);
                 }
             }
-            Ev::Broken((c, serial), moved) => {
-                let client = &self.clients[c as usize];
-                if client.phase != Phase::Stands || client.serial != serial {
+            SimEvent::ConnectionBreaks((client_id, serial), moved) => {
+                let client = &self.clients[client_id as usize];
+                if client.phase != Phase::Established || client.attempt_serial != serial {
                     return;
                 }
-                self.clients[c as usize].phase = Phase::Out;
-                self.over(c, if moved { Outcome::Cancelled } else { Outcome::Reset });
-                self.returns(c, if moved { MOVE } else { BREAK });
+                self.clients[client_id as usize].phase = Phase::Waiting;
+                self.end_connection(client_id, if moved { Outcome::Cancelled } else { Outcome::Reset });
+                self.schedule_return(client_id, if moved { MOVE } else { BREAK });
             }
-            Ev::Timer(n, epoch, token) => {
-                if self.nodes[n].up && self.nodes[n].epoch == epoch {
-                    self.tell(n, Event::Timer { token });
+            SimEvent::Timer(node_id, epoch, token) => {
+                if self.nodes[node_id].up && self.nodes[node_id].epoch == epoch {
+                    self.deliver_event(node_id, Event::Timer { token });
                 }
             }
-            Ev::Due(n, epoch, stamp) => {
-                let (now, node) = (self.now, &mut self.nodes[n]);
-                if !node.up || node.epoch != epoch || node.stamp != stamp {
+            SimEvent::DecisionDue(node_id, epoch, version) => {
+                let (now, node) = (self.now, &mut self.nodes[node_id]);
+                if !node.up || node.epoch != epoch || node.due_version != version {
                     return;
                 }
-                node.due = None;
+                node.due_at = None;
                 let mut out = Vec::new();
-                node.decider.turn(now, &mut out);
-                self.act(n, out);
+                node.decider.run_due(now, &mut out);
+                self.perform_actions(node_id, out);
             }
-            Ev::Probed(n, epoch, server, outcome) => {
-                if self.nodes[n].up && self.nodes[n].epoch == epoch {
-                    self.tell(n, Event::Probed { host: host_id(server), outcome, load: None });
+            SimEvent::ProbeAnswered(node_id, epoch, server, outcome) => {
+                if self.nodes[node_id].up && self.nodes[node_id].epoch == epoch {
+                    self.deliver_event(node_id, Event::Probed { host: host_id(server), outcome, load: None });
                 }
             }
-            Ev::News(n, epoch, kind, changed) => self.news(n, epoch, kind, changed),
-            Ev::Begin(i) => self.begin(i),
-            Ev::End(i) => self.end(i),
-            Ev::Stop(n, down) => {
-                self.nodes[n].open = false;
-                let (epoch, until) = (self.nodes[n].epoch, self.now + TERM.0);
-                self.at(self.now + TERM.1, Ev::Leave(n, epoch, until));
-                self.at(until, Ev::Kill(n, down));
+            SimEvent::ListUpdate(node_id, epoch, kind, changed) => {
+                self.update_list(node_id, epoch, kind, changed)
+            }
+            SimEvent::FaultBegins(i) => self.begin_fault(i),
+            SimEvent::FaultEnds(i) => self.end_fault(i),
+            SimEvent::BalancerStops(node_id, down) => {
+                self.nodes[node_id].in_rotation = false;
+                let (epoch, until) = (self.nodes[node_id].epoch, self.now + TERM_TO_KILL);
+                self.schedule(self.now + TERM_TO_FIRST_MOVE, SimEvent::BalancerDrains(node_id, epoch, until));
+                self.schedule(until, SimEvent::BalancerKilled(node_id, down));
             }
-            Ev::Leave(n, epoch, until) => self.leave(n, epoch, until),
-            Ev::Kill(n, down) => self.kill(n, down),
-            Ev::Notice(n) => self.nodes[n].open &= self.nodes[n].up,
-            Ev::Back(n) => self.back(n),
-            Ev::Listen(n, epoch) => {
-                if self.nodes[n].epoch == epoch {
-                    self.nodes[n].waits_for_list = false;
+            SimEvent::BalancerDrains(node_id, epoch, until) => self.drain_balancer(node_id, epoch, until),
+            SimEvent::BalancerKilled(node_id, down) => self.kill_balancer(node_id, down),
+            SimEvent::FailureDetected(node_id) => self.nodes[node_id].in_rotation &= self.nodes[node_id].up,
+            SimEvent::BalancerRestarts(node_id) => self.restart_balancer(node_id),
+            SimEvent::AcceptsWithoutList(node_id, epoch) => {
+                if self.nodes[node_id].epoch == epoch {
+                    self.nodes[node_id].waits_for_list = false;
                 }
             }
-            Ev::Notified(change) => self.notified(change),
-            Ev::Tick => {
-                self.in_common();
-                self.tick();
+            SimEvent::ChangeNotified(change) => self.change_notified(change),
+            SimEvent::Tick => {
+                self.update_zone_plan();
+                self.sample();
             }
         }
     }
--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -1,7 +1,10 @@
-//! What goes wrong, and how balancers hear of it: faults, discovery's news, balancers that end and come back.
+//! Faults, changes of discovery's list and their notifications, and balancers that stop and restart.
 
-use super::decider::{decider, operator, Choice};
-use super::engine::{server_of, Change, Ev, Listed, Phase, World, NEXT, NOTICED, NOTIFIED_AFTER, TERM};
+use super::decider::{create_decider, parse_operator, DeciderChoice};
+use super::engine::{
+    server_of, ListChange, ListedEntry, Phase, SimEvent, Simulation, ASSUMED_NOTIFIED_AFTER,
+    FAILURE_DETECTION_TIME, NEXT_MESSAGE_WITHIN, RESTART_INTERVAL, TERM_TO_KILL,
+};
 use crate::scenario::plan::{Strike, BREAK};
 use crate::scenario::Kind;
 use crate::score::record::{state_letter, AttemptOutcome, RunEvent};
@@ -10,15 +13,22 @@
 use oakdeal::{Event, HostState, ListKind, Micros, Outcome};
 use rand::RngExt;
 
-impl World<'_> {
-    pub(super) fn news(
+/// Interval at which a stopping balancer moves a batch of its clients, in microseconds.
+const MOVE_INTERVAL: Micros = 100_000;
+/// Number of batches by which a stopping balancer is done moving its clients before SIGKILL.
+const SPARE_MOVE_TURNS: u64 = 7;
+/// Time after which balancers notice that discovery is down, in microseconds.
+const DISCOVERY_FAILURE_DELAY: Micros = 1_000;
+
+impl Simulation<'_> {
+    pub(super) fn update_list(
         &mut self,
-        n: usize,
+        node_id: usize,
         epoch: u32,
         kind: ListKind,
         changed: Option<Box<(usize, HostState, Micros)>>,
     ) {
-        let node = &mut self.nodes[n];
+        let node = &mut self.nodes[node_id];
         if !node.up || node.epoch != epoch {
             return;
         }
@@ -27,20 +37,20 @@
         }
         let hosts = match kind {
             ListKind::Full => {
-                node.watching = true;
+                node.subscribed = true;
                 let hosts = self.discovery.list();
                 let listed: Vec<usize> = hosts.iter().map(|e| server_of(e.host)).collect();
                 for server in (0..self.hosts.len()).filter(|s| !listed.contains(s)) {
-                    self.note(RunEvent::state_notified(n, server, HostState::Gone));
+                    self.record(RunEvent::state_notified(node_id, server, HostState::Gone));
                 }
-                self.nodes[n].list.retain(|server, _| listed.contains(server));
+                self.nodes[node_id].list.retain(|server, _| listed.contains(server));
                 hosts
             }
             ListKind::Failed => {
-                node.watching = false;
-                return self.tell(n, Event::Members { kind, hosts: Vec::new() });
+                node.subscribed = false;
+                return self.deliver_event(node_id, Event::Members { kind, hosts: Vec::new() });
             }
-            _ if !node.watching => return,
+            _ if !node.subscribed => return,
             _ => {
                 let entry = |&(server, state, ready_at): &(usize, HostState, Micros)| oakdeal::Entry {
                     state,
@@ -52,233 +62,263 @@
         };
         for entry in &hosts {
             let server = server_of(entry.host);
-            self.note(RunEvent::state_notified(n, server, entry.state));
-            let list = &mut self.nodes[n].list;
+            self.record(RunEvent::state_notified(node_id, server, entry.state));
+            let list = &mut self.nodes[node_id].list;
             if entry.state == HostState::Gone {
                 list.remove(&server);
             } else {
-                list.insert(server, Listed { entry: entry.clone(), learned: self.now });
+                list.insert(server, ListedEntry { entry: entry.clone(), learned_at: self.now });
             }
         }
-        self.tell(n, Event::Members { kind, hosts });
+        self.deliver_event(node_id, Event::Members { kind, hosts });
     }
 
-    /// Discovery's list changes; each balancer is told in its own time.
-    pub(super) fn list(&mut self, server: usize, state: HostState, ready_at: Option<Micros>) {
+    /// Changes discovery's list and schedules each balancer's notification, with a random lag.
+    pub(super) fn change_list(&mut self, server: usize, state: HostState, ready_at: Option<Micros>) {
         let entry = self.discovery.update_entry(server, state, ready_at);
         let at = self.discovery.earliest_notification(self.now);
-        self.at(at + NOTIFIED_AFTER, Ev::Notified(Change { server, state, at }));
+        self.schedule(
+            at + ASSUMED_NOTIFIED_AFTER,
+            SimEvent::ChangeNotified(ListChange { server, state, changed_at: at }),
+        );
         let (low, high) = self.scenario.fleet.told_after;
-        for n in 0..self.nodes.len() {
-            let lag = self.lag.random_range(low.0..=high.0.max(low.0));
-            let (at, epoch) = (self.discovery.earliest_notification(self.now) + lag, self.nodes[n].epoch);
-            self.at(
+        for node_id in 0..self.nodes.len() {
+            let lag = self.notification_rng.random_range(low.0..=high.0.max(low.0));
+            let (at, epoch) =
+                (self.discovery.earliest_notification(self.now) + lag, self.nodes[node_id].epoch);
+            self.schedule(
                 at,
-                Ev::News(n, epoch, ListKind::Changes, Some(Box::new((server, state, entry.ready_at)))),
+                SimEvent::ListUpdate(
+                    node_id,
+                    epoch,
+                    ListKind::Changes,
+                    Some(Box::new((server, state, entry.ready_at))),
+                ),
             );
         }
     }
 
-    /// A change counts as notified now, or so long after discovery's return if it was down meanwhile.
-    pub(super) fn notified(&mut self, change: Change) {
+    /// Records that a change counts as notified, or reschedules this if discovery has been down meanwhile.
+    pub(super) fn change_notified(&mut self, change: ListChange) {
         let counts_at =
-            self.discovery.earliest_notification(change.at).max(self.discovery.outage_end()) + NOTIFIED_AFTER;
+            self.discovery.earliest_notification(change.changed_at).max(self.discovery.outage_end())
+                + ASSUMED_NOTIFIED_AFTER;
         if self.now < counts_at {
-            return self.at(counts_at, Ev::Notified(change));
+            return self.schedule(counts_at, SimEvent::ChangeNotified(change));
         }
-        let Change { server, state, at } = change;
-        self.note(RunEvent::Notified { server, state: state_letter(state), changed: at });
+        let ListChange { server, state, changed_at } = change;
+        self.record(RunEvent::Notified { server, state: state_letter(state), changed: changed_at });
     }
 
-    /// A server's process dies: everything there breaks.
-    pub(super) fn die(&mut self, server: usize) {
+    /// Kills a server's process, which breaks all its connections.
+    pub(super) fn kill_server(&mut self, server: usize) {
         let now = self.now;
-        let h = &mut self.hosts[server];
-        h.up = false;
-        let (setups, held) = h.model.drop_all(now);
-        h.stamp += 1;
-        h.standing.iter_mut().for_each(|n| *n = 0);
-        h.by_node.iter_mut().for_each(|n| *n = 0);
+        let host = &mut self.hosts[server];
+        host.up = false;
+        let (setups, connections) = host.model.drop_all(now);
+        host.setup_version += 1;
+        host.established.iter_mut().for_each(|n| *n = 0);
+        host.connections_by_node.iter_mut().for_each(|n| *n = 0);
         for job in setups {
-            let way = self.way(self.clients[job.0 as usize].node, server);
-            self.at(now + way, Ev::Answered(job, AttemptOutcome::Reset));
+            let delay = self.one_way_delay(self.clients[job.0 as usize].node, server);
+            self.schedule(now + delay, SimEvent::AttemptAnswered(job, AttemptOutcome::Reset));
         }
-        for job in held {
-            let way = self.way(self.clients[job.0 as usize].node, server);
-            self.at(now + way, Ev::Broken(job, false));
+        for job in connections {
+            let delay = self.one_way_delay(self.clients[job.0 as usize].node, server);
+            self.schedule(now + delay, SimEvent::ConnectionBreaks(job, false));
         }
-        self.list(server, HostState::Gone, None);
+        self.change_list(server, HostState::Gone, None);
     }
 
-    pub(super) fn begin(&mut self, i: usize) {
+    pub(super) fn begin_fault(&mut self, i: usize) {
         let strike: Strike = self.plan.strikes[i].clone();
         let text = match (&strike.fault.zone, &strike.fault.of) {
             (Some(place), _) | (None, Some(place)) => format!("{:?} ({place})", strike.fault.kind),
             _ => format!("{:?}", strike.fault.kind),
         };
-        self.note(RunEvent::Fault { text, until: strike.until });
+        self.record(RunEvent::Fault { text, until: strike.until });
         let now = self.now;
         match strike.fault.kind {
-            Kind::Death => strike.servers.iter().for_each(|&s| self.die(s)),
+            Kind::Death => strike.servers.iter().for_each(|&s| self.kill_server(s)),
             Kind::Silence | Kind::Cut => {
                 for &server in &strike.servers {
-                    let h = &mut self.hosts[server];
-                    (h.silent, h.cut) = (Some(now), strike.fault.kind == Kind::Cut);
-                    for c in 0..self.clients.len() as u32 {
-                        let client = &self.clients[c as usize];
-                        if client.phase == Phase::Stands && client.server == server {
-                            // The next message of this client goes out within two seconds.
-                            let (serial, wait) = (client.serial, self.between(c, (0.0, 2e6)));
-                            self.at(now + wait + SILENT, Ev::Silent((c, serial)));
+                    let host = &mut self.hosts[server];
+                    (host.silent_since, host.severed) = (Some(now), strike.fault.kind == Kind::Cut);
+                    for client_id in 0..self.clients.len() as u32 {
+                        let client = &self.clients[client_id as usize];
+                        if client.phase == Phase::Established && client.server == server {
+                            // The client sends its next message within two seconds.
+                            let (serial, wait) =
+                                (client.attempt_serial, self.draw_between(client_id, NEXT_MESSAGE_WITHIN));
+                            self.schedule(
+                                now + wait + SILENT,
+                                SimEvent::SilenceDetected((client_id, serial)),
+                            );
                         }
                     }
                 }
             }
             Kind::FastErrors => {
-                strike.servers.iter().for_each(|&s| self.hosts[s].errors = strike.fault.share)
+                strike.servers.iter().for_each(|&s| self.hosts[s].error_share = strike.fault.share)
             }
             Kind::Drain => {
                 for &server in &strike.servers {
                     self.hosts[server].draining = true;
-                    self.list(server, HostState::Draining, None);
-                    for c in 0..self.clients.len() as u32 {
-                        let client = &self.clients[c as usize];
-                        if client.phase == Phase::Stands && client.server == server {
-                            let (serial, way) = (client.serial, self.way(client.node, server));
-                            self.at(now + way, Ev::Broken((c, serial), true));
+                    self.change_list(server, HostState::Draining, None);
+                    for client_id in 0..self.clients.len() as u32 {
+                        let client = &self.clients[client_id as usize];
+                        if client.phase == Phase::Established && client.server == server {
+                            let (serial, delay) =
+                                (client.attempt_serial, self.one_way_delay(client.node, server));
+                            self.schedule(now + delay, SimEvent::ConnectionBreaks((client_id, serial), true));
                         }
                     }
                 }
             }
             Kind::Reconnect => {
-                for c in 0..self.clients.len() as u32 {
-                    if self.clients[c as usize].phase != Phase::Stands || self.draw(c) >= strike.fault.part {
+                for client_id in 0..self.clients.len() as u32 {
+                    if self.clients[client_id as usize].phase != Phase::Established
+                        || self.draw(client_id) >= strike.fault.part
+                    {
                         continue;
                     }
-                    self.clients[c as usize].phase = Phase::Out;
-                    self.over(c, Outcome::Cancelled);
-                    self.returns(c, (0.0, strike.fault.length.0 as f64));
+                    self.clients[client_id as usize].phase = Phase::Waiting;
+                    self.end_connection(client_id, Outcome::Cancelled);
+                    self.schedule_return(client_id, (0.0, strike.fault.length.0 as f64));
                 }
             }
             Kind::Restart => {
-                // One after the other, or a part at a time: those need not wait until the ones before are back.
-                let many = ((strike.fault.part * self.nodes.len() as f64).round() as usize).max(1);
-                let step = if many > 1 { NEXT / 2 } else { TERM.0 + strike.fault.length.0 + NEXT };
-                for n in 0..self.nodes.len() {
-                    self.at(now + (n / many) as u64 * step, Ev::Stop(n, strike.fault.length.0));
+                // Balancers restart one after the other, each once the previous one is back, or in batches of `part`
+                // that do not wait for the previous batch.
+                let batch = ((strike.fault.part * self.nodes.len() as f64).round() as usize).max(1);
+                let step = if batch > 1 {
+                    RESTART_INTERVAL / 2
+                } else {
+                    TERM_TO_KILL + strike.fault.length.0 + RESTART_INTERVAL
+                };
+                for node_id in 0..self.nodes.len() {
+                    self.schedule(
+                        now + (node_id / batch) as u64 * step,
+                        SimEvent::BalancerStops(node_id, strike.fault.length.0),
+                    );
                 }
             }
             Kind::Kill => {
-                let n = ((strike.fault.part * self.nodes.len() as f64).round() as usize).max(1);
-                for n in 0..n.min(self.nodes.len()) {
-                    self.at(now, Ev::Kill(n, strike.fault.length.0));
+                let count = ((strike.fault.part * self.nodes.len() as f64).round() as usize).max(1);
+                for node_id in 0..count.min(self.nodes.len()) {
+                    self.schedule(now, SimEvent::BalancerKilled(node_id, strike.fault.length.0));
                 }
             }
             Kind::Discovery => {
                 self.discovery.set_down_until(strike.until);
-                for n in 0..self.nodes.len() {
-                    let epoch = self.nodes[n].epoch;
-                    self.at(now + 1_000, Ev::News(n, epoch, ListKind::Failed, None));
+                for node_id in 0..self.nodes.len() {
+                    let epoch = self.nodes[node_id].epoch;
+                    self.schedule(
+                        now + DISCOVERY_FAILURE_DELAY,
+                        SimEvent::ListUpdate(node_id, epoch, ListKind::Failed, None),
+                    );
                 }
             }
             Kind::Contract => {
                 let text = strike.fault.operator.as_deref().unwrap_or_default();
-                if let Ok(operator) = operator(text) {
-                    for n in 0..self.nodes.len() {
-                        self.nodes[n].decider.operate(now, &operator);
-                        self.act(n, Vec::new());
+                if let Ok(operator) = parse_operator(text) {
+                    for node_id in 0..self.nodes.len() {
+                        self.nodes[node_id].decider.apply_operator(now, &operator);
+                        self.perform_actions(node_id, Vec::new());
                     }
                 }
             }
-            // Drawn with the clients.
+            // These faults are part of the generated clients.
             Kind::Costly | Kind::Surge => {}
         }
     }
 
-    pub(super) fn end(&mut self, i: usize) {
+    pub(super) fn end_fault(&mut self, i: usize) {
         let strike: Strike = self.plan.strikes[i].clone();
         let now = self.now;
         for &server in &strike.servers {
-            let h = &mut self.hosts[server];
+            let host = &mut self.hosts[server];
             match strike.fault.kind {
-                Kind::Death | Kind::Drain if !h.fallen => {
+                Kind::Death | Kind::Drain if !host.overloaded => {
                     if strike.fault.kind == Kind::Drain {
-                        self.die(server);
+                        self.kill_server(server);
                     }
-                    let h = &mut self.hosts[server];
-                    (h.up, h.draining) = (true, false);
-                    h.model.start(now);
-                    self.note(RunEvent::Started { server });
-                    self.list(server, HostState::Ready, Some(now));
+                    let host = &mut self.hosts[server];
+                    (host.up, host.draining) = (true, false);
+                    host.model.start(now);
+                    self.record(RunEvent::Started { server });
+                    self.change_list(server, HostState::Ready, Some(now));
                 }
-                Kind::Silence | Kind::Cut => (h.silent, h.cut) = (None, false),
-                Kind::FastErrors => h.errors = 0.0,
+                Kind::Silence | Kind::Cut => (host.silent_since, host.severed) = (None, false),
+                Kind::FastErrors => host.error_share = 0.0,
                 _ => {}
             }
         }
     }
 
-    /// SIGTERM: every client of this balancer is asked to come again, evenly until it is killed.
-    pub(super) fn leave(&mut self, n: usize, epoch: u32, until: Micros) {
-        if self.nodes[n].epoch != epoch || !self.nodes[n].up {
+    /// Moves a balancer's clients at an even rate between SIGTERM and SIGKILL.
+    pub(super) fn drain_balancer(&mut self, node_id: usize, epoch: u32, until: Micros) {
+        if self.nodes[node_id].epoch != epoch || !self.nodes[node_id].up {
             return;
         }
-        let there: Vec<u32> = (0..self.clients.len() as u32)
-            .filter(|&c| {
-                self.clients[c as usize].phase == Phase::Stands && self.clients[c as usize].node == n
+        let clients: Vec<u32> = (0..self.clients.len() as u32)
+            .filter(|&client_id| {
+                self.clients[client_id as usize].phase == Phase::Established
+                    && self.clients[client_id as usize].node == node_id
             })
             .collect();
-        let turns = (until.saturating_sub(self.now) / 100_000).saturating_sub(7).max(1) as usize;
-        for c in there.iter().take(there.len().div_ceil(turns)) {
-            self.moved(*c);
+        let turns =
+            (until.saturating_sub(self.now) / MOVE_INTERVAL).saturating_sub(SPARE_MOVE_TURNS).max(1) as usize;
+        for client_id in clients.iter().take(clients.len().div_ceil(turns)) {
+            self.move_client(*client_id);
         }
-        if self.now + 100_000 < until {
-            self.at(self.now + 100_000, Ev::Leave(n, epoch, until));
+        if self.now + MOVE_INTERVAL < until {
+            self.schedule(self.now + MOVE_INTERVAL, SimEvent::BalancerDrains(node_id, epoch, until));
         }
     }
 
-    pub(super) fn kill(&mut self, n: usize, down: Micros) {
-        self.note(RunEvent::Died { node: n });
-        let node = &mut self.nodes[n];
-        (node.up, node.watching, node.due) = (false, false, None);
+    pub(super) fn kill_balancer(&mut self, node_id: usize, down: Micros) {
+        self.record(RunEvent::Died { node: node_id });
+        let node = &mut self.nodes[node_id];
+        (node.up, node.subscribed, node.due_at) = (false, false, None);
         node.epoch += 1;
-        for c in 0..self.clients.len() as u32 {
+        for client_id in 0..self.clients.len() as u32 {
             let (phase, serial, server) = {
-                let client = &self.clients[c as usize];
-                (client.phase, client.serial, client.server)
+                let client = &self.clients[client_id as usize];
+                (client.phase, client.attempt_serial, client.server)
             };
-            if self.clients[c as usize].node != n {
+            if self.clients[client_id as usize].node != node_id {
                 continue;
             }
             match phase {
-                Phase::Stands => self.off(c, server, (c, serial)),
-                Phase::Sent => self.give_back((c, serial)),
-                Phase::Asking => {}
-                Phase::Out | Phase::Done => continue,
+                Phase::Established => self.remove_connection(client_id, server, (client_id, serial)),
+                Phase::InFlight => self.drop_attempt((client_id, serial)),
+                Phase::Requested => {}
+                Phase::Waiting | Phase::Finished => continue,
             }
-            self.returns(c, BREAK);
+            self.schedule_return(client_id, BREAK);
         }
-        self.at(self.now + down, Ev::Back(n));
-        if self.nodes[n].open {
-            // The front goes on dealing clients out to it until it notices.
-            self.at(self.now + NOTICED, Ev::Notice(n));
+        self.schedule(self.now + down, SimEvent::BalancerRestarts(node_id));
+        if self.nodes[node_id].in_rotation {
+            // The front-end router sends clients to it until it detects the failure.
+            self.schedule(self.now + FAILURE_DETECTION_TIME, SimEvent::FailureDetected(node_id));
         }
     }
 
-    pub(super) fn back(&mut self, n: usize) {
-        let seed = self.seed ^ (n as u64 + 1) << 32 ^ u64::from(self.nodes[n].epoch);
-        let (choice, scenario, zone) = (self.choice, self.scenario, self.nodes[n].zone);
-        match decider(choice, scenario, zone, seed) {
-            Ok(decider) => self.nodes[n].decider = decider,
-            Err(e) => return eprintln!("oakdeal-lab: a balancer does not come back: {e}"),
+    pub(super) fn restart_balancer(&mut self, node_id: usize) {
+        let seed = self.seed ^ (node_id as u64 + 1) << 32 ^ u64::from(self.nodes[node_id].epoch);
+        let (choice, scenario, zone) = (self.choice, self.scenario, self.nodes[node_id].zone);
+        match create_decider(choice, scenario, zone, seed) {
+            Ok(decider) => self.nodes[node_id].decider = decider,
+            Err(e) => return eprintln!("oakdeal-lab: a balancer cannot be restarted: {e}"),
         }
-        (self.nodes[n].up, self.nodes[n].open) = (true, true);
-        // The yardsticks ask nobody.
-        if matches!(choice, Choice::Own | Choice::Drill(_)) {
-            self.nodes[n].waits_for_list = true;
-            let epoch = self.nodes[n].epoch;
-            self.at(self.now + FIRST_LIST, Ev::Listen(n, epoch));
+        (self.nodes[node_id].up, self.nodes[node_id].in_rotation) = (true, true);
+        // The baselines accept clients without waiting for discovery.
+        if matches!(choice, DeciderChoice::Own | DeciderChoice::Drill(_)) {
+            self.nodes[node_id].waits_for_list = true;
+            let epoch = self.nodes[node_id].epoch;
+            self.schedule(self.now + FIRST_LIST, SimEvent::AcceptsWithoutList(node_id, epoch));
         }
-        self.known(n);
+        self.load_cached_list(node_id);
     }
 }
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -1,12 +1,14 @@
-//! Simulated time: a day is played event by event against the decision code, as fast as the machine can.
+//! Discrete-event simulation: runs a scenario against the decision code in simulated time, as fast as the machine
+//! allows.
 //!
-//! - [`engine`]: the world and its one queue of events, ties in the order in which they were made; beside it
-//!   `requests` (a client's request and its connection), `faults` and `seconds`.
-//! - [`decider`]: who decides: this build's core in process, another build's `oakdeal-drill` over its wire, or a
-//!   yardstick.
+//! - [`engine`]: the simulation's state and its event queue, in which simultaneous events keep the order in which they
+//!   were scheduled. Its methods are split by subject: `requests` (a request and its connection), `faults`,
+//!   `seconds` (scoring) and `common` (the fleet's zone plan).
+//! - [`decider`]: the implementations that decide for a balancer: this build's core in the same process, another
+//!   build's `oakdeal-drill` as a child process, or a baseline.
 //!
-//! Promised: the same scenario, seed and build give the same bytes of record on any machine and any number of
-//! threads. Options weighed in docs/lab.md.
+//! Guaranteed: equal scenario, seed and build give an identical record on any machine and with any number of threads.
+//! The design alternatives are discussed in docs/lab.md.
 
 mod common;
 pub mod decider;
@@ -16,4 +18,4 @@
 mod requests;
 mod seconds;
 
-pub use engine::play;
+pub use engine::simulate;
--- a/lab/tests/lab.rs
+++ b/lab/tests/lab.rs
@@ -12,15 +12,16 @@
 use oakdeal_lab::score::checker::{Checker, Rule};
 use oakdeal_lab::score::record::{replay, AttemptOutcome, Entry, EntrySink, RunEvent, Writer};
 use oakdeal_lab::score::service::{RunOutcome, Scorer};
-use oakdeal_lab::virt::decider::{Choice, Decider};
-use oakdeal_lab::virt::engine::play_plan;
+use oakdeal_lab::virt::decider::{Decider, DeciderChoice};
+use oakdeal_lab::virt::engine::simulate_plan;
 use rand_distr::{Distribution, Exp1};
 use std::collections::BTreeMap;
 use std::path::Path;
 
 fn bytes(name: &str, seed: u64) -> Vec<u8> {
     let mut writer = Writer::new(Vec::new()).unwrap();
-    oakdeal_lab::virt::play(&library::find(name).unwrap(), name, seed, &Choice::Own, &mut writer).unwrap();
+    oakdeal_lab::virt::simulate(&library::find(name).unwrap(), name, seed, &DeciderChoice::Own, &mut writer)
+        .unwrap();
     writer.finish().unwrap()
 }
 
@@ -50,7 +51,7 @@
     let scenarios = run::named(&["small".into()]).unwrap();
     let on = |threads: usize| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
-        pool.install(|| run::all(&scenarios, 1..=6, &Choice::Own, None)).unwrap()
+        pool.install(|| run::all(&scenarios, 1..=6, &DeciderChoice::Own, None)).unwrap()
     };
     assert_eq!(on(1), on(4));
 }
@@ -289,7 +290,7 @@
         done
     }
 
-    fn tell(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if let Event::Members { kind, hosts } = &event {
             if matches!(kind, ListKind::Full | ListKind::Cached) {
                 self.hosts = hosts.iter().map(|e| e.host).collect();
@@ -302,14 +303,14 @@
                 }
             }
         }
-        self.inner.tell(now, event, out);
+        self.inner.handle_event(now, event, out);
         self.spoil(out);
     }
 }
 
 fn broken(scenario: &Scenario, wrap: &dyn Fn(Box<dyn Decider>) -> Box<dyn Decider>) -> BTreeMap<Rule, u64> {
     let (plan, mut service) = (Plan::draw(scenario, 5), Scorer::default());
-    play_plan(scenario, "planted", 5, &plan, &Choice::Own, &mut service, Some(wrap)).unwrap();
+    simulate_plan(scenario, "planted", 5, &plan, &DeciderChoice::Own, &mut service, Some(wrap)).unwrap();
     let outcome = service.outcome().unwrap();
     assert!(outcome.breaks.is_empty() || outcome.score == 0.0, "a broken rule makes the day worth nothing");
     outcome.breaks
@@ -332,7 +333,7 @@
     assert!(broken(&scenario, &|d| d).is_empty());
     let open = |_| -> Box<dyn Decider> {
         let free = Scenario { operator: None, ..library::find("team-flood").unwrap() };
-        oakdeal_lab::virt::decider::decider(&Choice::Own, &free, 0, 1).unwrap()
+        oakdeal_lab::virt::decider::create_decider(&DeciderChoice::Own, &free, 0, 1).unwrap()
     };
     assert!(broken(&scenario, &open).contains_key(&Rule::Contract));
     // Lines: what the load tool of a live run notes.
@@ -392,7 +393,7 @@
     for (name, seed) in [("small", 1), ("small", 2)] {
         let scenario = library::find(name).unwrap();
         let (live, counts) = run::live(name, &scenario, seed, &program, None).unwrap();
-        let virt = run::one(name, &scenario, seed, &Choice::Own, None).unwrap();
+        let virt = run::one(name, &scenario, seed, &DeciderChoice::Own, None).unwrap();
         assert!(live.breaks.is_empty(), "{:?}", live.first_breaks);
         // On a machine that was too slow the two may differ.
         assert!(
@@ -431,7 +432,7 @@
     let folder = std::env::temp_dir().join(format!("oakdeal-lab-report-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let scenario = library::find("team-flood").unwrap();
-    run::one("team-flood", &scenario, 1, &Choice::Own, Some(&folder)).unwrap();
+    run::one("team-flood", &scenario, 1, &DeciderChoice::Own, Some(&folder)).unwrap();
     let html = oakdeal_lab::report::html(&[folder.join("team-flood-1.jsonl.zst")]).unwrap();
     assert!(
         html.matches("<svg").count() == 5 && html.contains("Surge (south)") && html.contains("<td>north")
@@ -485,7 +486,7 @@
 #[test]
 fn three_hundred_balancers_keep_their_service_through_a_roll_and_a_lost_zone() {
     for (name, least) in [("fleet-mass-roll", 0.60), ("fleet-mass-zone", 0.75)] {
-        let outcome = run::one(name, &library::find(name).unwrap(), 3, &Choice::Own, None).unwrap();
+        let outcome = run::one(name, &library::find(name).unwrap(), 3, &DeciderChoice::Own, None).unwrap();
         assert!(outcome.service >= least, "{name}: {}", outcome.service);
         assert!(outcome.breaks.is_empty(), "{name}: {:?}", outcome.breaks);
     }
@@ -499,7 +500,7 @@
         let outcomes: Vec<RunOutcome> = std::thread::scope(|scope| {
             let play = |seed| {
                 let scenario = &scenario;
-                scope.spawn(move || run::one(name, scenario, seed, &Choice::Own, None).unwrap())
+                scope.spawn(move || run::one(name, scenario, seed, &DeciderChoice::Own, None).unwrap())
             };
             let playing: Vec<_> = (1..=4).map(play).collect();
             playing.into_iter().map(|played| played.join().unwrap()).collect()
