--- a/lab/src/score/checker.rs
+++ b/lab/src/score/checker.rs
@@ -41,10 +41,12 @@
 /// Time by which an answer may be late, in microseconds; the value of the operators' rules.
 const ANSWER_TOLERANCE: Micros = 16_000;
 
+/// A request that has not ended.
 #[derive(Debug)]
 struct RequestState {
     node: usize,
     deadline: Micros,
+    /// Server of the attempt in flight.
     in_flight_at: Option<usize>,
     /// Whether an attempt was sent.
     tried: bool,
@@ -82,7 +84,7 @@
     admitted: BTreeMap<usize, u64>,
     violations: Vec<Violation>,
     violation_counts: BTreeMap<Rule, u64>,
-    /// Number of requests by their end: established, refused, failed, abandoned by the client, lost with their balancer.
+    /// Number of requests by end: established, refused, failed, left by the client, lost with their balancer.
     pub end_counts: [u64; 5],
     /// Number of requests.
     pub requests: u64,
@@ -102,6 +104,7 @@
         (&self.violations, &self.violation_counts)
     }
 
+    /// Forgets a request that has ended and frees its admission.
     fn release(&mut self, call: &str) {
         if let Some(request) = self.calls.remove(call) {
             if request.tried {
--- a/lab/src/score/record.rs
+++ b/lab/src/score/record.rs
@@ -59,7 +59,7 @@
     /// The client left before it had an answer.
     #[serde(rename = "gone")]
     ClientLeft { node: usize, call: String },
-    /// An established connection was told to move.
+    /// The client of an established connection was asked to move.
     Moved { node: usize, call: String },
     /// An established connection ended.
     #[serde(rename = "over")]
@@ -123,7 +123,7 @@
     }
 }
 
-/// Returns the letter that stands for a server's state in a record.
+/// Returns the letter of a server's state in a record.
 pub fn state_letter(state: HostState) -> char {
     match state {
         HostState::Ready => 'r',
--- a/lab/src/virt/decider.rs
+++ b/lab/src/virt/decider.rs
@@ -120,6 +120,7 @@
         DeciderChoice::Drill(path) => Box::new(super::drill::Drill::start(path, &settings, seed)?),
         DeciderChoice::Random | DeciderChoice::Least => Box::new(Baseline {
             least_connections: *choice == DeciderChoice::Least,
+            // The label selects the random stream; another label would change the results of the baselines.
             rng: stream(seed, "yardstick"),
             max_attempts: scenario.fleet.attempts as usize,
             ..Baseline::new(seed)
@@ -188,6 +189,7 @@
     connections: BTreeMap<HostId, u32>,
     /// Servers tried, deadline and current server of each open call.
     calls: BTreeMap<CallId, (Vec<HostId>, Micros, Option<HostId>)>,
+    /// Whether discovery has sent the list.
     subscribed: bool,
 }
 
--- a/lab/src/virt/drill.rs
+++ b/lab/src/virt/drill.rs
@@ -57,6 +57,7 @@
         Ok(drill)
     }
 
+    /// Sends one batch with a single line and reads the actions up to the end of the reply.
     fn exchange_batch(&mut self, now: Micros, line: Value) -> Result<Vec<Action>, String> {
         self.frame += 1;
         let head = json!({"Frame": {"TimeMs": to_ms(now), "frame": self.frame}});
@@ -96,6 +97,7 @@
         }
     }
 
+    /// Returns the line of an event; `None` for events that the protocol does not carry.
     fn encode_event(event: Event) -> Option<Value> {
         Some(match event {
             Event::Members { kind, hosts } => {
@@ -127,9 +129,8 @@
                 json!({"Note": {"Node": 0, "Call": "", "Host": host, "Kind": 2, "Level": to_ms(delay)}})
             }
             Event::Finished { call, attempt, host, outcome, elapsed, ended } => {
-                json!({"Finished": {"Node": 0,
-                "Call": &*call.0, "CostTimeMs": to_ms(elapsed), "Code": outcome_code(outcome), "Host": host, "Copy": attempt,
-                "Ended": ended}})
+                json!({"Finished": {"Node": 0, "Call": &*call.0, "CostTimeMs": to_ms(elapsed),
+                    "Code": outcome_code(outcome), "Host": host, "Copy": attempt, "Ended": ended}})
             }
             Event::Probed { host, outcome, .. } => {
                 json!({"Pong": {"Node": 0, "Host": host, "Code": outcome_code(outcome), "ServerStats": null}})
@@ -160,7 +161,8 @@
         let options =
             u32::from(demand.hint.is_some()) + 2 * u32::from(demand.repeat) + 16 * u32::from(demand.returned);
         let line = json!({"Demand": {"Node": 0, "Call": &*demand.call.0, "Class": demand.class.to_string(),
-            "PathKey": demand.key.as_deref(), "Channel": demand.group.as_deref(), "LeftMs": to_ms(demand.left.saturating_sub(ANSWER_MARGIN)),
+            "PathKey": demand.key.as_deref(), "Channel": demand.group.as_deref(),
+            "LeftMs": to_ms(demand.left.saturating_sub(ANSWER_MARGIN)),
             "PredictedMs": demand.hint.map(|hint| hint / 1000.0), "Options": options, "Billing": null}});
         self.exchange(now, line, out);
         Ok(())
--- a/lab/src/virt/engine.rs
+++ b/lab/src/virt/engine.rs
@@ -39,8 +39,8 @@
 /// Range of the time until a client sends its next message, in microseconds.
 pub(super) const NEXT_MESSAGE_WITHIN: (f64, f64) = (0.0, 2e6);
 
-/// An event of the simulation. `u32` fields are a client with its request number or a balancer's epoch, `usize` fields
-/// are balancers, servers or faults.
+/// An event of the simulation. Events of balancers carry the epoch and those of set-ups and due work a version; they
+/// are ignored when it is outdated.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum SimEvent {
     ClientArrives(u32),
@@ -52,7 +52,9 @@
     ClientGivesUp(u32, u32),
     LifetimeEnds(u32),
     LoadChanges(Job),
+    /// The balancer detects that the server of this attempt's connection is silent.
     SilenceDetected(Job),
+    /// The connection of the attempt ends; the flag is whether the server moved the client instead of breaking off.
     ConnectionBreaks(Job, bool),
     Timer(usize, u32, u64),
     DecisionDue(usize, u32, u64),
@@ -60,9 +62,13 @@
     ListUpdate(usize, u32, ListKind, Option<Box<(usize, HostState, Micros)>>),
     FaultBegins(usize),
     FaultEnds(usize),
+    /// SIGTERM; the second field is the time from SIGKILL to the restart.
     BalancerStops(usize, Micros),
+    /// A stopping balancer moves its next batch of clients; the last field is the time of SIGKILL.
     BalancerDrains(usize, u32, Micros),
+    /// SIGKILL; the second field is the time until the restart.
     BalancerKilled(usize, Micros),
+    /// The front-end router detects that a balancer has died.
     FailureDetected(usize),
     BalancerRestarts(usize),
     /// A restarted balancer accepts clients although discovery has not answered it.
@@ -352,6 +358,7 @@
 }
 
 impl Simulation<'_> {
+    /// Runs all events up to the end of the scenario.
     pub(super) fn run(&mut self, name: &str) -> Result<(), String> {
         let (begin, end) = self.scenario.span();
         let terms: Option<Terms> = match (&self.scenario.operator, self.choice) {
@@ -442,6 +449,7 @@
         format!("c{client_id}-{}", self.clients[client_id as usize].request_number).as_str().into()
     }
 
+    /// Returns the index of a client's team and class.
     pub(super) fn cell(&self, client_id: u32) -> usize {
         let p = &self.plan.clients[client_id as usize];
         p.team * self.scenario.class.len() + p.class
@@ -468,6 +476,7 @@
         self.perform_actions(node_id, out);
     }
 
+    /// Performs a decider's actions and schedules its next due work.
     pub(super) fn perform_actions(&mut self, node_id: usize, actions: Vec<Action>) {
         for action in actions {
             self.perform_action(node_id, action);
@@ -607,6 +616,7 @@
         self.report_finished(client_id, outcome, true);
     }
 
+    /// Removes an established connection from its server's model and counts.
     pub(super) fn remove_connection(&mut self, client_id: u32, server: usize, job: Job) {
         let cell = self.cell(client_id);
         let (now, node) = (self.now, self.clients[client_id as usize].node);
@@ -626,6 +636,7 @@
         self.deliver_event(node_id, Event::Finished { call, attempt, host, outcome, elapsed, ended });
     }
 
+    /// Ends a connection whose client is asked to move, and schedules the client's return.
     pub(super) fn move_client(&mut self, client_id: u32) {
         let (node, call) = (self.clients[client_id as usize].node, self.call_id(client_id));
         self.counts.moves += 1;
--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -21,6 +21,7 @@
 const DISCOVERY_FAILURE_DELAY: Micros = 1_000;
 
 impl Simulation<'_> {
+    /// Delivers a list, a change of it or a failed call to a balancer.
     pub(super) fn update_list(
         &mut self,
         node_id: usize,
@@ -130,6 +131,7 @@
         self.change_list(server, HostState::Gone, None);
     }
 
+    /// Starts a fault of the plan.
     pub(super) fn begin_fault(&mut self, i: usize) {
         let strike: Strike = self.plan.strikes[i].clone();
         let text = match (&strike.fault.zone, &strike.fault.of) {
@@ -233,6 +235,7 @@
         }
     }
 
+    /// Ends a fault of the plan.
     pub(super) fn end_fault(&mut self, i: usize) {
         let strike: Strike = self.plan.strikes[i].clone();
         let now = self.now;
@@ -277,6 +280,7 @@
         }
     }
 
+    /// Kills a balancer: its clients return after a break, and it restarts after `down`.
     pub(super) fn kill_balancer(&mut self, node_id: usize, down: Micros) {
         self.record(RunEvent::Died { node: node_id });
         let node = &mut self.nodes[node_id];
@@ -305,6 +309,7 @@
         }
     }
 
+    /// Restarts a balancer with a new decider and its cached list.
     pub(super) fn restart_balancer(&mut self, node_id: usize) {
         let seed = self.seed ^ (node_id as u64 + 1) << 32 ^ u64::from(self.nodes[node_id].epoch);
         let (choice, scenario, zone) = (self.choice, self.scenario, self.nodes[node_id].zone);
--- a/lab/src/virt/requests.rs
+++ b/lab/src/virt/requests.rs
@@ -14,6 +14,7 @@
 const DEADLINE_ALLOWANCE: Micros = 1_000;
 
 impl Simulation<'_> {
+    /// Sends a client's first or repeated request to a balancer.
     pub(super) fn client_arrives(&mut self, client_id: u32) {
         let p = &self.plan.clients[client_id as usize];
         let (until, class, team, zone, group) = (p.at + p.life, p.class, p.team, p.zone, p.group);
@@ -85,6 +86,7 @@
         client.phase == Phase::InFlight && client.attempt_serial == serial
     }
 
+    /// Handles the arrival of an attempt at its server.
     pub(super) fn attempt_arrives(&mut self, job: Job) {
         if !self.is_in_flight(job) {
             return;
@@ -123,6 +125,7 @@
         self.schedule(now + delay, SimEvent::AttemptAnswered(job, how));
     }
 
+    /// Establishes the connections whose set-ups have completed at a server.
     pub(super) fn complete_setups(&mut self, server: usize, version: u64) {
         if self.hosts[server].setup_version != version {
             return;
@@ -254,6 +257,7 @@
         true
     }
 
+    /// Ends a client with its request or connection.
     pub(super) fn lifetime_ends(&mut self, client_id: u32) {
         let cell = self.cell(client_id);
         self.wanted[cell] -= 1;
@@ -268,6 +272,7 @@
         self.clients[client_id as usize].phase = Phase::Finished;
     }
 
+    /// Changes the load of an established connection and reports it.
     pub(super) fn load_changes(&mut self, job: Job) {
         let (client_id, serial) = job;
         let client = &self.clients[client_id as usize];
--- a/lab/src/virt/seconds.rs
+++ b/lab/src/virt/seconds.rs
@@ -8,6 +8,7 @@
 const SLOW_DELAY_DIVISOR: Micros = 3;
 
 impl Simulation<'_> {
+    /// Adds the worth asked for and served since the last sample.
     pub(super) fn sample(&mut self) {
         let (now, classes) = (self.now, self.scenario.class.len());
         self.ticks += 1;
@@ -37,6 +38,7 @@
         self.schedule(now + SAMPLE_INTERVAL, SimEvent::Tick);
     }
 
+    /// Reports message delays to the balancers and records the second that has ended.
     pub(super) fn finish_second(&mut self) {
         let (now, classes) = (self.now, self.scenario.class.len());
         let shortest_target = self.scenario.class.iter().map(|c| c.message.0).min().unwrap_or(0);
