--- a/lab/tests/lab.rs
+++ b/lab/tests/lab.rs
@@ -4,32 +4,33 @@
 use oakdeal::{Action, Demand, Event, HostState, ListKind, Micros};
 use oakdeal_lab::cli::run;
 use oakdeal_lab::ledger;
-use oakdeal_lab::model::server::{Came, Server};
-use oakdeal_lab::model::setups::Setups;
+use oakdeal_lab::model::server::{Arrival, Server};
+use oakdeal_lab::model::setups::SharedProcessor;
 use oakdeal_lab::report::fleet::Counts;
 use oakdeal_lab::scenario::plan::{stream, Machine, Plan};
 use oakdeal_lab::scenario::{library, Fleet, Scenario};
 use oakdeal_lab::score::checker::{Checker, Rule};
-use oakdeal_lab::score::record::{replay, Attempt, Entry, Reader, What, Writer};
-use oakdeal_lab::score::service::{Outcome, Service};
-use oakdeal_lab::virt::decider::{Choice, Decider};
-use oakdeal_lab::virt::engine::play_plan;
+use oakdeal_lab::score::record::{replay, AttemptOutcome, Entry, EntrySink, RunEvent, Writer};
+use oakdeal_lab::score::service::{RunOutcome, Scorer};
+use oakdeal_lab::virt::decider::{Decider, DeciderChoice};
+use oakdeal_lab::virt::engine::simulate_plan;
 use rand_distr::{Distribution, Exp1};
 use std::collections::BTreeMap;
 use std::path::Path;
 
 fn bytes(name: &str, seed: u64) -> Vec<u8> {
     let mut writer = Writer::new(Vec::new()).unwrap();
-    oakdeal_lab::virt::play(&library::find(name).unwrap(), name, seed, &Choice::Own, &mut writer).unwrap();
+    oakdeal_lab::virt::simulate(&library::find(name).unwrap(), name, seed, &DeciderChoice::Own, &mut writer)
+        .unwrap();
     writer.finish().unwrap()
 }
 
 /// What all balancers of a record did together, and what came of it.
-fn counted(record: &[u8]) -> (Counts, Outcome) {
-    let (mut counts, mut service) = (Counts::default(), Service::default());
+fn counted(record: &[u8]) -> (Counts, RunOutcome) {
+    let (mut counts, mut service) = (Counts::default(), Scorer::default());
     let read = |entry: Entry| {
         counts.read(&entry);
-        service.read(&entry);
+        service.accept(&entry);
     };
     replay(record, read).unwrap();
     (counts, service.outcome().unwrap())
@@ -50,7 +51,7 @@
     let scenarios = run::named(&["small".into()]).unwrap();
     let on = |threads: usize| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
-        pool.install(|| run::all(&scenarios, 1..=6, &Choice::Own, None)).unwrap()
+        pool.install(|| run::all(&scenarios, 1..=6, &DeciderChoice::Own, None)).unwrap()
     };
     assert_eq!(on(1), on(4));
 }
@@ -113,11 +114,11 @@
 fn a_cold_server_that_falls_is_laid_on_those_who_were_told_that_it_started() {
     for (told, broken) in [(2, false), (3, true)] {
         let (mut checker, mut t) = (Checker::default(), 1_000_000);
-        let mut read = |what: What| {
+        let mut read = |what: RunEvent| {
             t += 1_000;
-            checker.read(&Entry { t, what });
+            checker.accept(&Entry { t, what });
         };
-        read(What::Begin {
+        read(RunEvent::Begin {
             scenario: String::new(),
             title: String::new(),
             seed: 1,
@@ -132,22 +133,22 @@
             fall_time: 1_500_000,
             capacity: None,
         });
-        (0..4).for_each(|node| read(What::told(node, 9, HostState::Ready)));
-        read(What::Started { server: 9 });
-        (0..told).for_each(|node| read(What::told(node, 9, HostState::Ready)));
+        (0..4).for_each(|node| read(RunEvent::state_notified(node, 9, HostState::Ready)));
+        read(RunEvent::Started { server: 9 });
+        (0..told).for_each(|node| read(RunEvent::state_notified(node, 9, HostState::Ready)));
         for node in 0..4 {
             let call = format!("c{node}");
-            read(What::Asked { node, call: call.clone(), team: 0, class: 0, by: 9_000_000 });
-            read(What::Sent { node, call, server: 9, crosses: false });
+            read(RunEvent::Asked { node, call: call.clone(), team: 0, class: 0, by: 9_000_000 });
+            read(RunEvent::Sent { node, call, server: 9, crosses: false });
         }
-        read(What::Fell { server: 9 });
-        assert_eq!(checker.breaks().1.contains_key(&Rule::Cold), broken, "{told} of 4 were told");
+        read(RunEvent::Overloaded { server: 9 });
+        assert_eq!(checker.violations().1.contains_key(&Rule::Cold), broken, "{told} of 4 were told");
     }
     // Where it is not noted who is told, as in a live run, all are.
     let mut checker = Checker::default();
-    checker.read(&Entry { t: 1, what: What::Started { server: 9 } });
-    checker.read(&Entry { t: 2, what: What::Fell { server: 9 } });
-    assert_eq!(checker.breaks().1[&Rule::Cold], 1);
+    checker.accept(&Entry { t: 1, what: RunEvent::Started { server: 9 } });
+    checker.accept(&Entry { t: 2, what: RunEvent::Overloaded { server: 9 } });
+    assert_eq!(checker.violations().1[&Rule::Cold], 1);
 }
 
 /// Guards against requests that vanish in the model itself.
@@ -155,19 +156,21 @@
 fn every_request_ends_in_exactly_one_way_and_all_can_be_computed_again_from_the_record() {
     for name in ["small", "drains", "rolling-restart", "discovery-down", "team-flood"] {
         let record = bytes(name, 3);
-        let (mut service, mut asked, mut ended) = (Service::default(), BTreeMap::new(), BTreeMap::new());
+        let (mut service, mut asked, mut ended) = (Scorer::default(), BTreeMap::new(), BTreeMap::new());
         replay(&record[..], |entry| {
             match &entry.what {
-                What::Asked { call, node, .. } => drop(asked.insert(call.clone(), *node)),
-                What::Answer { call, .. } | What::Gone { call, .. } | What::Over { call, .. } => {
+                RunEvent::Asked { call, node, .. } => drop(asked.insert(call.clone(), *node)),
+                RunEvent::Answer { call, .. }
+                | RunEvent::ClientLeft { call, .. }
+                | RunEvent::ConnectionEnded { call, .. } => {
                     *ended.entry(call.clone()).or_insert(0) += 1;
                 }
-                What::Died { node } => asked.iter().filter(|(_, n)| *n == node).for_each(|(call, _)| {
+                RunEvent::Died { node } => asked.iter().filter(|(_, n)| *n == node).for_each(|(call, _)| {
                     ended.entry(call.clone()).or_insert(1);
                 }),
                 _ => {}
             }
-            service.read(&entry);
+            service.accept(&entry);
         })
         .unwrap();
         assert!(ended.values().all(|n| *n == 1), "{name}: ended twice");
@@ -179,7 +182,7 @@
             "{name}: {left} have no end"
         );
         assert!(outcome.requests as usize == asked.len() && outcome.service > 0.3, "{name}: {outcome:?}");
-        let [up, refused, failed, gone, lost] = service.checker().ends;
+        let [up, refused, failed, gone, lost] = service.checker().end_counts;
         let owed = outcome.requests - up - refused - failed - gone - lost;
         assert!(owed < 60, "{name}: {owed} of {} without any answer", outcome.requests);
     }
@@ -190,13 +193,13 @@
 fn a_server_that_shares_its_processor_has_the_mean_that_theory_knows() {
     for load in [0.3, 0.6, 0.8] {
         let mut rng = stream(11, "queue");
-        let (mut queue, mut came) = (Setups::new(0), BTreeMap::new());
-        queue.rate(0, 1.0, 1.0);
+        let (mut queue, mut came) = (SharedProcessor::new(0), BTreeMap::new());
+        queue.set_rate(0, 1.0, 1.0);
         let (work, mut now, mut next, mut sum, mut n) = (10_000.0, 0u64, 0u64, 0u128, 0u64);
         let mut id = 0u64;
         while n < 400_000 {
-            now = queue.next().map_or(next, |end| end.min(next));
-            for job in queue.ended(now) {
+            now = queue.next_completion().map_or(next, |end| end.min(next));
+            for job in queue.take_completed(now) {
                 let at: u64 = came.remove(&job).unwrap();
                 (sum, n) = (sum + u128::from(now - at), n + 1);
             }
@@ -229,14 +232,14 @@
     // may bring 6 more.
     let mut fell = None;
     for i in 0..20 {
-        if server.came(1_100_000 + i * 10_000, (i as u32, 1), 1.0, 1.0) == Came::Fell {
+        if server.receive_request(1_100_000 + i * 10_000, (i as u32, 1), 1.0, 1.0) == Arrival::Overloaded {
             fell = fell.or(Some(i));
         }
     }
     assert_eq!(fell, Some(7));
     let mut warm = Server::new(Machine { zone: 0, cores: 2.0, speed: 1.0 }, &fleet, 1.0);
     assert!(
-        (0..30).all(|i| warm.came(i, (i as u32, 1), 1.0, 1.0) == Came::Taken),
+        (0..30).all(|i| warm.receive_request(i, (i as u32, 1), 1.0, 1.0) == Arrival::Accepted),
         "a warm one does not fall"
     );
 }
@@ -287,7 +290,7 @@
         done
     }
 
-    fn tell(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if let Event::Members { kind, hosts } = &event {
             if matches!(kind, ListKind::Full | ListKind::Cached) {
                 self.hosts = hosts.iter().map(|e| e.host).collect();
@@ -300,14 +303,14 @@
                 }
             }
         }
-        self.inner.tell(now, event, out);
+        self.inner.handle_event(now, event, out);
         self.spoil(out);
     }
 }
 
 fn broken(scenario: &Scenario, wrap: &dyn Fn(Box<dyn Decider>) -> Box<dyn Decider>) -> BTreeMap<Rule, u64> {
-    let (plan, mut service) = (Plan::draw(scenario, 5), Service::default());
-    play_plan(scenario, "planted", 5, &plan, &Choice::Own, &mut service, Some(wrap)).unwrap();
+    let (plan, mut service) = (Plan::draw(scenario, 5), Scorer::default());
+    simulate_plan(scenario, "planted", 5, &plan, &DeciderChoice::Own, &mut service, Some(wrap)).unwrap();
     let outcome = service.outcome().unwrap();
     assert!(outcome.breaks.is_empty() || outcome.score == 0.0, "a broken rule makes the day worth nothing");
     outcome.breaks
@@ -330,30 +333,30 @@
     assert!(broken(&scenario, &|d| d).is_empty());
     let open = |_| -> Box<dyn Decider> {
         let free = Scenario { operator: None, ..library::find("team-flood").unwrap() };
-        oakdeal_lab::virt::decider::decider(&Choice::Own, &free, 0, 1).unwrap()
+        oakdeal_lab::virt::decider::create_decider(&DeciderChoice::Own, &free, 0, 1).unwrap()
     };
     assert!(broken(&scenario, &open).contains_key(&Rule::Contract));
     // Lines: what the load tool of a live run notes.
     let mut checker = Checker::default();
-    let line = What::Line { node: 0, call: "c1-1".into(), wrong: "came twice".into() };
-    checker.read(&Entry { t: 5, what: line });
-    assert_eq!(checker.breaks().1[&Rule::Lines], 1);
+    let line = RunEvent::LineFault { node: 0, call: "c1-1".into(), wrong: "came twice".into() };
+    checker.accept(&Entry { t: 5, what: line });
+    assert_eq!(checker.violations().1[&Rule::Lines], 1);
 }
 
 /// Guards against a tie of a deadline and an answer that is counted twice.
 #[test]
 fn one_that_gives_up_at_the_instant_of_its_answer_ends_once() {
     let mut checker = Checker::default();
-    let mut say = |t, what| checker.read(&Entry { t, what });
+    let mut say = |t, what| checker.accept(&Entry { t, what });
     let call = || "c1-1".to_string();
-    say(0, What::Asked { node: 0, call: call(), team: 0, class: 0, by: 1_000 });
-    say(1, What::Sent { node: 0, call: call(), server: 1, crosses: false });
-    say(1_000, What::Done { node: 0, call: call(), how: Attempt::Given });
-    say(1_000, What::Gone { node: 0, call: call() });
-    assert!(checker.breaks().1.is_empty());
-    let mut say = |t, what| checker.read(&Entry { t, what });
-    say(1_000, What::Answer { node: 0, call: call(), refused: true, after: None, contract: false });
-    assert_eq!(checker.breaks().1[&Rule::OneAnswer], 1, "a second answer is a break");
+    say(0, RunEvent::Asked { node: 0, call: call(), team: 0, class: 0, by: 1_000 });
+    say(1, RunEvent::Sent { node: 0, call: call(), server: 1, crosses: false });
+    say(1_000, RunEvent::Done { node: 0, call: call(), how: AttemptOutcome::GivenUp });
+    say(1_000, RunEvent::ClientLeft { node: 0, call: call() });
+    assert!(checker.violations().1.is_empty());
+    let mut say = |t, what| checker.accept(&Entry { t, what });
+    say(1_000, RunEvent::Answer { node: 0, call: call(), refused: true, after: None, contract: false });
+    assert_eq!(checker.violations().1[&Rule::OneAnswer], 1, "a second answer is a break");
 }
 
 #[test]
@@ -390,7 +393,7 @@
     for (name, seed) in [("small", 1), ("small", 2)] {
         let scenario = library::find(name).unwrap();
         let (live, counts) = run::live(name, &scenario, seed, &program, None).unwrap();
-        let virt = run::one(name, &scenario, seed, &Choice::Own, None).unwrap();
+        let virt = run::one(name, &scenario, seed, &DeciderChoice::Own, None).unwrap();
         assert!(live.breaks.is_empty(), "{:?}", live.first_breaks);
         // On a machine that was too slow the two may differ.
         assert!(
@@ -429,7 +432,7 @@
     let folder = std::env::temp_dir().join(format!("oakdeal-lab-report-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let scenario = library::find("team-flood").unwrap();
-    run::one("team-flood", &scenario, 1, &Choice::Own, Some(&folder)).unwrap();
+    run::one("team-flood", &scenario, 1, &DeciderChoice::Own, Some(&folder)).unwrap();
     let html = oakdeal_lab::report::html(&[folder.join("team-flood-1.jsonl.zst")]).unwrap();
     assert!(
         html.matches("<svg").count() == 5 && html.contains("Surge (south)") && html.contains("<td>north")
@@ -465,17 +468,17 @@
         "2.1 x DEBUG told: Timer { token: 1 }".into(),
         asks(2.6, "c", "kb", 1, true),
     ];
-    let mut day = ledger::read::Day::default();
-    lines.iter().for_each(|line| day.read(line));
-    let book = ledger::reckon(&day, &ledger::Terms::default());
+    let mut day = ledger::read::ParsedLogs::default();
+    lines.iter().for_each(|line| day.parse_line(line));
+    let book = ledger::build_ledger(&day, &ledger::LedgerSettings::default());
     let at =
-        |n: usize| book.looks[n].1.iter().map(|(name, worth)| (name.as_str(), *worth)).collect::<Vec<_>>();
+        |n: usize| book.samples[n].1.iter().map(|(name, worth)| (name.as_str(), *worth)).collect::<Vec<_>>();
     // One connection of 0.2 and its group, three more, on one core; then 0.4 and 1.2.
     assert_eq!(at(0), [("refused, is back", 15.0), ("stands over 3/4", 5.0)]);
     assert_eq!(at(2), [("refused, is back", 15.0), ("stands over 1.3", 5.0)]);
     assert_eq!(at(3), [("broken: Reset", 5.0), ("refused, is back", 15.0)]);
     assert_eq!(book.zones.keys().collect::<Vec<_>>(), ["2", "none"]);
-    assert!(ledger::read::Day::files(&["/nowhere".into()]).is_err());
+    assert!(ledger::read::ParsedLogs::from_files(&["/nowhere".into()]).is_err());
 }
 
 /// Guards against what failed the standing test: groups scattered by clients that are back, so that they cost the fleet
@@ -483,7 +486,7 @@
 #[test]
 fn three_hundred_balancers_keep_their_service_through_a_roll_and_a_lost_zone() {
     for (name, least) in [("fleet-mass-roll", 0.60), ("fleet-mass-zone", 0.75)] {
-        let outcome = run::one(name, &library::find(name).unwrap(), 3, &Choice::Own, None).unwrap();
+        let outcome = run::one(name, &library::find(name).unwrap(), 3, &DeciderChoice::Own, None).unwrap();
         assert!(outcome.service >= least, "{name}: {}", outcome.service);
         assert!(outcome.breaks.is_empty(), "{name}: {:?}", outcome.breaks);
     }
@@ -494,10 +497,10 @@
 fn three_hundred_balancers_keep_their_mean_service_through_a_roll_and_a_lost_zone() {
     for (name, least) in [("fleet-mass-roll", 0.65), ("fleet-mass-zone", 0.80)] {
         let scenario = library::find(name).unwrap();
-        let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
+        let outcomes: Vec<RunOutcome> = std::thread::scope(|scope| {
             let play = |seed| {
                 let scenario = &scenario;
-                scope.spawn(move || run::one(name, scenario, seed, &Choice::Own, None).unwrap())
+                scope.spawn(move || run::one(name, scenario, seed, &DeciderChoice::Own, None).unwrap())
             };
             let playing: Vec<_> = (1..=4).map(play).collect();
             playing.into_iter().map(|played| played.join().unwrap()).collect()
