--- a/src/group/holder_tasks.rs
+++ b/src/group/holder_tasks.rs
@@ -26,7 +26,9 @@
 
     /// Reports this process's counts since its start to the writer of the account.
     pub fn report_usage(&mut self, now: Micros, rows: &[Row]) {
-        let (Some(holder), me) = (self.holder_of(ACCOUNT_TASK), self.peers.me().clone()) else { return };
+        let (Some(holder), me) = (self.holder_of(ACCOUNT_TASK), self.peers.local_member().clone()) else {
+            return;
+        };
         for rows in rows.chunks(MAX_ROWS_PER_REPORT) {
             let report = UsageReport { balancer: me.name.clone(), started: me.started, rows: rows.to_vec() };
             match holder == me.name {
@@ -62,7 +64,7 @@
     /// Reports this process's view of the zones to the member that makes the plan.
     pub fn report_digest(&mut self, now: Micros, digest: Digest) {
         match self.holder_of(FAILOVER) {
-            Some(holder) if holder == self.peers.me().name => self.receive_digest(now, digest),
+            Some(holder) if holder == self.peers.local_member().name => self.receive_digest(now, digest),
             Some(holder) => self.send(&holder, &Message::Digest(digest)),
             None => {}
         }
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -16,7 +16,7 @@
 use crate::failover::evidence::Digest;
 use crate::failover::plan::{Plan, Planner};
 use crate::peers::seal::{ADDED, LONGEST};
-use crate::peers::{self, Note, Peers};
+use crate::peers::{self, MemberEvent, Peers};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A member joined, left or was declared down.
-    PeerChanged(Note),
+    PeerChanged(MemberEvent),
     /// This member holds the lease of the task from now on, under this token.
     LeaseAcquired(String, u64),
     /// This member has stopped acting on the task under this token.
@@ -132,7 +132,7 @@
         let mut voters = voters.to_vec();
         voters.sort();
         // A restarted process has the same name: the start time keeps it from taking the leases of its predecessor for its own.
-        let me = format!("{}#{}", peers.me().name, peers.me().started);
+        let me = format!("{}#{}", peers.local_member().name, peers.local_member().started);
         let holder = |task: &String| (task.clone(), LeaseClient::new(now, terms, task, &me));
         Member {
             voters,
@@ -143,14 +143,14 @@
             task_settings,
             acting: BTreeMap::new(),
             gate: TokenFence::default(),
-            next_voter: peers.me().started as usize,
+            next_voter: peers.local_member().started as usize,
             pending_requests: BTreeMap::new(),
             last_request_id: 0,
             responses_to_self: Vec::new(),
             last_record_poll: now,
             last_record_request: 0,
             reassembly: Reassembly::default(),
-            last_message_id: peers.me().started.wrapping_mul(MESSAGE_ID_MULTIPLIER),
+            last_message_id: peers.local_member().started.wrapping_mul(MESSAGE_ID_MULTIPLIER),
             account_book: AccountBook::default(),
             last_page: now,
             planner: None,
@@ -196,7 +196,7 @@
     pub fn receive(&mut self, now: Micros, datagram: &[u8]) {
         match Message::decode(datagram) {
             Some(Message::Gossip { from, version, bytes }) => {
-                self.unreadable += u64::from(self.peers.read(now, &bytes).is_err());
+                self.unreadable += u64::from(self.peers.receive(now, &bytes).is_err());
                 self.request_newer_record(now, &from, version);
             }
             Some(Message::Consensus(bytes)) => {
@@ -256,7 +256,7 @@
 
     /// Sends a response, or keeps it for [`Member::handle_responses_to_self`].
     fn respond(&mut self, to: &str, response: Response) {
-        if to == self.peers.me().name {
+        if to == self.peers.local_member().name {
             self.responses_to_self.push(response);
         } else {
             self.send(to, &Message::Response(response));
@@ -300,8 +300,8 @@
     }
 
     fn send_gossip(&mut self) {
-        let (from, version) = (self.peers.me().name.clone(), self.record().version);
-        for (to, bytes) in self.peers.sends() {
+        let (from, version) = (self.peers.local_member().name.clone(), self.record().version);
+        for (to, bytes) in self.peers.take_datagrams() {
             let message = Message::Gossip { from: from.clone(), version, bytes };
             self.messages.push(None, (to, message.encode()));
         }
@@ -345,7 +345,7 @@
     /// other until one names the leader.
     pub(super) fn change_recipient(&self) -> Option<&str> {
         if let Some(voter) = &self.voter {
-            let me = self.peers.me().name.as_str();
+            let me = self.peers.local_member().name.as_str();
             let leader = if voter.is_ready_leader() { Some(me) } else { voter.leader().0 };
             if leader.is_some() {
                 return leader;
@@ -363,7 +363,7 @@
 
     fn request_from(&mut self, to: &str, body: RequestBody, pending: Option<PendingRequest>) {
         self.last_request_id += 1;
-        let (id, from) = (self.last_request_id, self.peers.me().name.clone());
+        let (id, from) = (self.last_request_id, self.peers.local_member().name.clone());
         if let Some(pending) = pending {
             self.pending_requests.insert(id, pending);
             while self.pending_requests.len() > MAX_PENDING_REQUESTS {
@@ -380,9 +380,9 @@
 
     /// Does what is due by `now`. To be called every few tens of milliseconds, and after datagrams were received.
     pub fn tick(&mut self, now: Micros) {
-        self.peers.turn(now);
-        let notes = self.peers.notes();
-        notes.into_iter().for_each(|note| self.push_event(Event::PeerChanged(note)));
+        self.peers.tick(now);
+        let events = self.peers.take_events();
+        events.into_iter().for_each(|event| self.push_event(Event::PeerChanged(event)));
         self.send_gossip();
         self.run_voter(now);
         self.handle_responses_to_self(now);
@@ -468,7 +468,8 @@
 
     /// Announces an action on a task to all other members, and reports it as an event.
     fn announce_action(&mut self, task: &str, token: u64, members: &[peers::Member]) {
-        let action = LeasedAction { task: task.into(), token, holder: self.peers.me().name.clone() };
+        let action =
+            LeasedAction { task: task.into(), token, holder: self.peers.local_member().name.clone() };
         let lease = LeaseToken { task: task.into(), token };
         for member in members.iter().filter(|member| member.name != action.holder) {
             self.send_under_lease(Some(&lease), &member.name, &Message::Action(action.clone()));
@@ -500,7 +501,7 @@
 
     /// Announces that this member drains, or no longer does.
     pub fn set_draining(&mut self, now: Micros, drains: bool) {
-        self.peers.drains(now, drains);
+        self.peers.set_draining(now, drains);
     }
 
     /// Releases all tasks and announces that this member leaves the group.
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -337,8 +337,8 @@
 /// Logs an event; `us` is the machine's time in microseconds at which the event was allowed.
 fn log_event(event: Event, us: Micros) {
     match event {
-        Event::PeerChanged(peers::Note::Up(name)) => tracing::info!("group: member {name} is up"),
-        Event::PeerChanged(peers::Note::Down(name)) => tracing::info!("group: member {name} is down"),
+        Event::PeerChanged(peers::MemberEvent::Up(name)) => tracing::info!("group: member {name} is up"),
+        Event::PeerChanged(peers::MemberEvent::Down(name)) => tracing::info!("group: member {name} is down"),
         Event::LeaseAcquired(task, token) => tracing::info!(us, "group: {task} is ours under token {token}"),
         Event::LeaseEnded(task, token) => {
             tracing::info!(us, "group: {task} is no longer ours under token {token}")
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -58,7 +58,7 @@
 
 /// What happened among the members.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum MemberEvent {
     /// It is there.
     Up(String),
     /// It has left, or answers nobody.
@@ -68,22 +68,22 @@
 /// What is to be done.
 #[derive(Default)]
 struct Outbox {
-    sends: Vec<(Member, Vec<u8>)>,
+    datagrams: Vec<(Member, Vec<u8>)>,
     timers: Vec<(Duration, Timer<Member>)>,
-    notes: Vec<Note>,
+    events: Vec<MemberEvent>,
 }
 
 impl Runtime<Member> for &mut Outbox {
     fn notify(&mut self, notification: Notification<'_, Member>) {
         match notification {
-            Notification::MemberUp(member) => self.notes.push(Note::Up(member.name.clone())),
-            Notification::MemberDown(member) => self.notes.push(Note::Down(member.name.clone())),
+            Notification::MemberUp(member) => self.events.push(MemberEvent::Up(member.name.clone())),
+            Notification::MemberDown(member) => self.events.push(MemberEvent::Down(member.name.clone())),
             _ => {}
         }
     }
 
     fn send_to(&mut self, to: Member, data: &[u8]) {
-        self.sends.push((to, data.to_vec()));
+        self.datagrams.push((to, data.to_vec()));
     }
 
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
@@ -141,14 +141,14 @@
     }
 
     /// Itself.
-    pub fn me(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         self.foca.identity()
     }
 
     /// All members that are there, itself among them, by name.
     pub fn members(&self) -> Vec<Member> {
         let others = self.foca.iter_members().map(|member| member.id().clone());
-        let mut all: Vec<Member> = others.chain([self.me().clone()]).collect();
+        let mut all: Vec<Member> = others.chain([self.local_member().clone()]).collect();
         all.sort_by(|a, b| a.name.cmp(&b.name));
         all
     }
@@ -167,14 +167,14 @@
     }
 
     /// A packet came. One that nobody can read is an error, and changes nothing.
-    pub fn read(&mut self, now: Micros, packet: &[u8]) -> Result<(), String> {
+    pub fn receive(&mut self, now: Micros, packet: &[u8]) -> Result<(), String> {
         let read = self.foca.handle_data(packet, &mut self.outbox).map_err(|e| e.to_string());
         self.took(now);
         read
     }
 
     /// Does what is due.
-    pub fn turn(&mut self, now: Micros) {
+    pub fn tick(&mut self, now: Micros) {
         while let Some(first) = self.due.first_entry().filter(|first| first.key().0 <= now) {
             let timer = first.remove();
             // What is late is late for a reason of its own: the crate bears it.
@@ -194,7 +194,7 @@
                     address: *at,
                     started: 0,
                     renewed: 0,
-                    ..self.me().clone()
+                    ..self.local_member().clone()
                 })
                 .collect();
             for member in missing {
@@ -205,9 +205,10 @@
     }
 
     /// It drains now, or no longer.
-    pub fn drains(&mut self, now: Micros, drains: bool) {
-        if self.me().drains != drains {
-            let me = Member { drains, renewed: self.me().renewed + 1, ..self.me().clone() };
+    pub fn set_draining(&mut self, now: Micros, drains: bool) {
+        if self.local_member().drains != drains {
+            let me =
+                Member { drains, renewed: self.local_member().renewed + 1, ..self.local_member().clone() };
             let _ = self.foca.change_identity(me, &mut self.outbox);
             self.took(now);
         }
@@ -220,17 +221,17 @@
     }
 
     /// What is to be sent, and where.
-    pub fn sends(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        let sends = std::mem::take(&mut self.outbox.sends);
-        sends
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+        let datagrams = std::mem::take(&mut self.outbox.datagrams);
+        datagrams
             .into_iter()
             .map(|(to, data)| (self.book.get(&to.name).copied().unwrap_or(to.address), data))
             .collect()
     }
 
     /// What happened.
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.outbox.notes)
+    pub fn take_events(&mut self) -> Vec<MemberEvent> {
+        std::mem::take(&mut self.outbox.events)
     }
 }
 
@@ -280,10 +281,10 @@
                 let mut sent = Vec::new();
                 for (i, peers) in self.all.iter_mut().enumerate() {
                     let Some(peers) = peers else { continue };
-                    peers.turn(self.now);
+                    peers.tick(self.now);
                     sent.extend(
                         peers
-                            .sends()
+                            .take_datagrams()
                             .into_iter()
                             .map(|(to, data)| (i, usize::from(to.port() - 10_000), data)),
                     );
@@ -292,7 +293,7 @@
                     assert!(data.len() <= 1_300);
                     self.bytes += (data.len() + seal::ADDED + 1) as u64;
                     if let Some(peers) = self.all[to].as_mut().filter(|_| !lost(from, to, self.now)) {
-                        peers.read(self.now, &data).unwrap();
+                        peers.receive(self.now, &data).unwrap();
                     }
                 }
             }
@@ -343,7 +344,7 @@
         let mut net = Net::new(5);
         net.run(6 * PROBE, |_, _, _| false);
         let now = net.now;
-        net.all[1].as_mut().unwrap().drains(now, true);
+        net.all[1].as_mut().unwrap().set_draining(now, true);
         net.run(4 * PROBE, |_, _, _| false);
         (0..5).for_each(|i| {
             let members = net.all[i].as_ref().unwrap().members();
@@ -381,7 +382,7 @@
         #[test]
         fn junk_changes_nothing(packet in prop::collection::vec(any::<u8>(), 0..400)) {
             let mut peers = Net::one(0, 3, 1);
-            let _ = peers.read(1, &packet);
+            let _ = peers.receive(1, &packet);
             prop_assert!(peers.members().len() <= 2);
         }
     }
