--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -15,7 +15,7 @@
 use crate::api::Micros;
 use crate::failover::evidence::Digest;
 use crate::failover::plan::{Plan, Planner};
-use crate::peers::seal::{ADDED, LONGEST};
+use crate::peers::seal::{MAX_DATAGRAM_BYTES, SEAL_OVERHEAD};
 use crate::peers::{self, MemberEvent, Peers};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -51,7 +51,7 @@
 /// Number of members per [`ACTION_INTERVAL`]: larger groups announce less often, which bounds the datagrams a second.
 const MEMBERS_PER_ACTION_INTERVAL: usize = 15;
 /// Maximum length in bytes of an encoded message in one datagram.
-const MAX_MESSAGE_BYTES: usize = LONGEST - ADDED;
+const MAX_MESSAGE_BYTES: usize = MAX_DATAGRAM_BYTES - SEAL_OVERHEAD;
 /// Bytes reserved for the header of a fragment, which takes 11: kind, message id, index and count.
 const FRAGMENT_HEADER_BYTES: usize = 16;
 /// Maximum number of bytes of a message in one fragment.
--- a/src/group/member_tests.rs
+++ b/src/group/member_tests.rs
@@ -85,7 +85,7 @@
                 while let Some((to, message)) = queue.pop() {
                     let j = usize::from(to.port() - 10_000);
                     assert!(message.len() <= MAX_MESSAGE_BYTES, "{} bytes", message.len());
-                    self.traffic[j].0 += (message.len() + ADDED) as u64;
+                    self.traffic[j].0 += (message.len() + SEAL_OVERHEAD) as u64;
                     self.traffic[j].1 += 1;
                     self.members[j].receive(self.now, &message);
                     queue.extend(take_messages(&mut self.members[j]));
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -16,7 +16,7 @@
 use crate::failover::plan::{OrderKind, Planner};
 use crate::failover::FailoverSettings;
 use crate::logging;
-use crate::peers::seal::{Seal, ADDED, LONGEST};
+use crate::peers::seal::{GroupKey, MAX_DATAGRAM_BYTES, SEAL_OVERHEAD};
 use crate::peers::{self, Peers};
 use rustix::time::{clock_gettime, ClockId};
 use std::cell::RefCell;
@@ -125,7 +125,7 @@
     /// Notified when writes of the voter's storage are durable.
     storage_progress: Arc<Notify>,
     socket: UdpSocket,
-    seal: Seal,
+    key: GroupKey,
     clock: Clock,
     commands: UnboundedReceiver<OperatorCommand>,
     board: Rc<StatusBoard>,
@@ -145,7 +145,7 @@
     ) -> Result<(Group, Rc<StatusBoard>), String> {
         let name = settings.name.as_deref().unwrap_or(name);
         let error = |what: String| format!("[group]: {what}");
-        let seal = Seal::read(&settings.key).map_err(error)?;
+        let key = GroupKey::read(&settings.key).map_err(error)?;
         let clock = Clock::new();
         let terms = lease::LeaseTerms { duration: settings.lease_span, drift_ppm: settings.drift };
         let mut voter = None;
@@ -182,7 +182,7 @@
             me,
             addresses,
             settings.probe_interval,
-            LONGEST - ADDED - MAX_GOSSIP_HEADER_BYTES,
+            MAX_DATAGRAM_BYTES - SEAL_OVERHEAD - MAX_GOSSIP_HEADER_BYTES,
             seed,
         );
         let (tasks, max_hold, account_interval) =
@@ -200,7 +200,7 @@
             member,
             storage_progress,
             socket,
-            seal,
+            key,
             clock,
             commands: command_receiver,
             board: board.clone(),
@@ -220,7 +220,7 @@
     /// Runs until the member leaves the group.
     pub async fn run(mut self, broker: Rc<Broker>) {
         let operations = Operations::new(broker.clone());
-        let mut buffer = [0; 2 * LONGEST];
+        let mut buffer = [0; 2 * MAX_DATAGRAM_BYTES];
         let (mut rejected, mut last_status, mut last_report, mut last_digest) = (0u64, 0, 0, 0);
         let mut last_tick = self.clock.now();
         loop {
@@ -250,7 +250,7 @@
                             // An ICMP error for an earlier datagram: the loss is handled like any other.
                             Err(_) => continue,
                         };
-                        match self.seal.open(&buffer[..n]) {
+                        match self.key.open(&buffer[..n]) {
                             Some(message) => self.member.receive(self.clock.now(), message),
                             None => {
                                 rejected += 1;
@@ -307,7 +307,7 @@
 
     fn send_messages(&mut self) {
         while let Some((to, message)) = self.member.next_message(self.clock.now()) {
-            if let Some(datagram) = self.seal.seal(&message) {
+            if let Some(datagram) = self.key.seal(&message) {
                 // A datagram that the socket buffer cannot take is lost like any other.
                 let _ = self.socket.try_send_to(&datagram, to);
             } else {
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -291,7 +291,7 @@
                 }
                 for (from, to, data) in sent {
                     assert!(data.len() <= 1_300);
-                    self.bytes += (data.len() + seal::ADDED + 1) as u64;
+                    self.bytes += (data.len() + seal::SEAL_OVERHEAD + 1) as u64;
                     if let Some(peers) = self.all[to].as_mut().filter(|_| !lost(from, to, self.now)) {
                         peers.receive(self.now, &data).unwrap();
                     }
--- a/src/peers/seal.rs
+++ b/src/peers/seal.rs
@@ -1,67 +1,68 @@
-//! Datagrams under the fleet's key: a message authentication code (HMAC with SHA-256, cut to 16 bytes) before the words.
+//! Authenticates datagrams with the group's key: a message authentication code (HMAC with SHA-256, truncated to 16 bytes)
+//! precedes the payload.
 //!
-//! Promised: what was not written under the key is told apart and changes nothing. Not promised: secrecy, or that a datagram
-//! is not repeated; what it says must bear that.
+//! Guarantees that a datagram which was not written under the key is rejected. Does not guarantee secrecy, nor that a datagram
+//! is not replayed: payloads must tolerate repetition.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
-/// The first byte: the form of all that follows.
-const FORM: u8 = 1;
-/// Of the code so many bytes are sent.
-const TAG: usize = 16;
-/// A key has so many bytes at least.
-const KEY: usize = 16;
-/// No datagram is longer.
-pub const LONGEST: usize = 1_400;
-/// What a seal adds.
-pub const ADDED: usize = 1 + TAG;
+/// First byte of a datagram: the version of the format of the rest.
+const FORMAT_VERSION: u8 = 1;
+/// Number of bytes of the authentication code that are sent.
+const TAG_BYTES: usize = 16;
+/// Minimum length of a key in bytes.
+const MIN_KEY_BYTES: usize = 16;
+/// Maximum length of a datagram in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// Number of bytes that sealing adds to a payload.
+pub const SEAL_OVERHEAD: usize = 1 + TAG_BYTES;
 
-/// The fleet's key.
+/// The secret key that all members of the group share.
 #[derive(Clone)]
-pub struct Seal(Hmac<Sha256>);
+pub struct GroupKey(Hmac<Sha256>);
 
-impl Seal {
-    /// A key from a file that nobody else may read.
-    pub fn read(path: &Path) -> Result<Seal, String> {
-        let said = |what: String| format!("the group's key {}: {what}", path.display());
-        let meta = std::fs::metadata(path).map_err(|e| said(format!("cannot be read: {e}")))?;
-        if meta.permissions().mode() & 0o077 != 0 {
-            return Err(said("others may read it: set its mode to 0600".into()));
+impl GroupKey {
+    /// Reads the key from a file, which must not be accessible to other users.
+    pub fn read(path: &Path) -> Result<GroupKey, String> {
+        let error = |what: String| format!("the group's key {}: {what}", path.display());
+        let metadata = std::fs::metadata(path).map_err(|e| error(format!("cannot be read: {e}")))?;
+        if metadata.permissions().mode() & 0o077 != 0 {
+            return Err(error("other users can access it: set its mode to 0600".into()));
         }
-        let key = std::fs::read(path).map_err(|e| said(format!("cannot be read: {e}")))?;
-        Seal::new(key.trim_ascii())
-            .ok_or_else(|| said(format!("is shorter than {KEY} bytes: write a longer one")))
+        let key = std::fs::read(path).map_err(|e| error(format!("cannot be read: {e}")))?;
+        GroupKey::new(key.trim_ascii())
+            .ok_or_else(|| error(format!("is shorter than {MIN_KEY_BYTES} bytes: use a longer one")))
     }
 
-    /// A key.
-    pub fn new(key: &[u8]) -> Option<Seal> {
+    /// Creates a key from its bytes; `None` if they are too few.
+    pub fn new(key: &[u8]) -> Option<GroupKey> {
         let mac = Hmac::<Sha256>::new_from_slice(key).ok()?;
-        (key.len() >= KEY).then_some(Seal(mac))
+        (key.len() >= MIN_KEY_BYTES).then_some(GroupKey(mac))
     }
 
-    /// Words as a datagram; none where they are too long for one.
-    pub fn seal(&self, words: &[u8]) -> Option<Vec<u8>> {
+    /// Returns the payload as an authenticated datagram; `None` if it is too long for one.
+    pub fn seal(&self, payload: &[u8]) -> Option<Vec<u8>> {
         let mut mac = self.0.clone();
-        mac.update(&[FORM]);
-        mac.update(words);
+        mac.update(&[FORMAT_VERSION]);
+        mac.update(payload);
         let tag = mac.finalize().into_bytes();
-        let mut datagram = vec![FORM];
-        datagram.extend_from_slice(&tag[..TAG]);
-        datagram.extend_from_slice(words);
-        (datagram.len() <= LONGEST).then_some(datagram)
+        let mut datagram = vec![FORMAT_VERSION];
+        datagram.extend_from_slice(&tag[..TAG_BYTES]);
+        datagram.extend_from_slice(payload);
+        (datagram.len() <= MAX_DATAGRAM_BYTES).then_some(datagram)
     }
 
-    /// The words of a datagram that was written under this key.
+    /// Returns the payload of a datagram that was written under this key; `None` for any other.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
-        let (&form, rest) = datagram.split_first()?;
-        let (tag, words) = rest.split_at_checked(TAG)?;
+        let (&version, rest) = datagram.split_first()?;
+        let (tag, payload) = rest.split_at_checked(TAG_BYTES)?;
         let mut mac = self.0.clone();
-        mac.update(&[form]);
-        mac.update(words);
-        (form == FORM && mac.verify_truncated_left(tag).is_ok()).then_some(words)
+        mac.update(&[version]);
+        mac.update(payload);
+        (version == FORMAT_VERSION && mac.verify_truncated_left(tag).is_ok()).then_some(payload)
     }
 }
 
@@ -71,26 +72,29 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Guards against a datagram that was changed or made up, and against a panic on one.
+        /// Guards against accepting a modified or forged datagram, and against a panic on one.
         #[test]
-        fn only_what_was_sealed_under_the_key_opens(
-            words in prop::collection::vec(any::<u8>(), 0..300), at in any::<prop::sample::Index>(), bit in 0u8..8,
+        fn only_datagrams_sealed_under_the_key_are_opened(
+            payload in prop::collection::vec(any::<u8>(), 0..300), at in any::<prop::sample::Index>(), bit in 0u8..8,
         ) {
-            let (seal, other) = (Seal::new(&[7; 32]).unwrap(), Seal::new(&[8; 32]).unwrap());
-            let mut datagram = seal.seal(&words).unwrap();
-            prop_assert_eq!(seal.open(&datagram), Some(&words[..]));
-            prop_assert_eq!(other.open(&datagram), None);
-            prop_assert_eq!(seal.open(&words), None);
+            let (key, other_key) = (GroupKey::new(&[7; 32]).unwrap(), GroupKey::new(&[8; 32]).unwrap());
+            let mut datagram = key.seal(&payload).unwrap();
+            prop_assert_eq!(key.open(&datagram), Some(&payload[..]));
+            prop_assert_eq!(other_key.open(&datagram), None);
+            prop_assert_eq!(key.open(&payload), None);
             let i = at.index(datagram.len());
             datagram[i] ^= 1 << bit;
-            prop_assert_eq!(seal.open(&datagram), None);
+            prop_assert_eq!(key.open(&datagram), None);
         }
     }
 
     #[test]
-    fn a_key_must_be_long_and_a_datagram_short() {
-        assert!(Seal::new(&[1; 15]).is_none());
-        let seal = Seal::new(&[1; 16]).unwrap();
-        assert!(seal.seal(&[0; LONGEST - ADDED]).is_some() && seal.seal(&[0; LONGEST - ADDED + 1]).is_none());
+    fn a_short_key_and_a_too_long_payload_are_rejected() {
+        assert!(GroupKey::new(&[1; 15]).is_none());
+        let key = GroupKey::new(&[1; 16]).unwrap();
+        assert!(
+            key.seal(&[0; MAX_DATAGRAM_BYTES - SEAL_OVERHEAD]).is_some()
+                && key.seal(&[0; MAX_DATAGRAM_BYTES - SEAL_OVERHEAD + 1]).is_none()
+        );
     }
 }
