--- a/src/cli/account.rs
+++ b/src/cli/account.rs
@@ -2,7 +2,7 @@
 
 use super::table;
 use crate::contracts::ledger::Reason;
-use crate::logging::ACCOUNT;
+use crate::logging::ACCOUNT_TARGET;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read};
@@ -59,7 +59,7 @@
             foreign += 1;
             continue;
         };
-        if record.target.as_deref() != Some(ACCOUNT) {
+        if record.target.as_deref() != Some(ACCOUNT_TARGET) {
             continue;
         }
         let entry = record.fields.map(serde_json::from_value::<Entry>);
--- a/src/group/task.rs
+++ b/src/group/task.rs
@@ -365,7 +365,7 @@
         }
         Event::AccountPage(page) => {
             let (number, token, missing) = (page.number, page.token, page.missing.join(" "));
-            page.rows.iter().for_each(|(name, started, row)| logging::account(name, *started, row));
+            page.rows.iter().for_each(|(name, started, row)| logging::write_account(name, *started, row));
             let rows = page.rows.len();
             tracing::info!(target: "oakdeal::page", page = number, token, rows, missing, us, "page of the account");
         }
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -298,7 +298,7 @@
     fn write(&self) {
         let now = self.broker.now();
         let rows = self.broker.contracts(|contracts| contracts.account_rows(now)).unwrap_or_default();
-        rows.iter().for_each(|row| logging::account(&self.balancer, self.started, row));
+        rows.iter().for_each(|row| logging::write_account(&self.balancer, self.started, row));
     }
 }
 
