--- a/src/logging.rs
+++ b/src/logging.rs
@@ -94,7 +94,7 @@
         })))
     }
 
-    /// Whether one more warning admits now.
+    /// Counts one more warning and returns whether it may be written.
     pub fn admit(&self, now: Instant) -> bool {
         let Ok(mut window) = self.0.lock() else { return true };
         if now >= window.started + Duration::from_secs(1) {
