--- a/src/import/mod.rs
+++ b/src/import/mod.rs
@@ -1,5 +1,5 @@
-//! Reads Apache's mod_proxy_balancer sections and mod_jk worker files and makes our configuration of them.
-//! What has no counterpart here is reported with its line, never dropped silently.
+//! Converts Apache's mod_proxy_balancer sections and mod_jk worker files to a platform configuration. Settings without a
+//! counterpart are reported with their line, never dropped silently.
 
 mod apache;
 mod jk;
@@ -7,12 +7,12 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// A line that could not be taken over, or not as it stands.
+/// A line that was not converted, or only in part.
 #[derive(Debug, PartialEq)]
 pub struct Report {
-    /// Its number, from 1; 0 for the file as a whole.
+    /// Line number, from 1; 0 for the file as a whole.
     pub line: usize,
-    /// What is to be known.
+    /// What was not converted, and why.
     pub text: String,
 }
 
@@ -24,62 +24,69 @@
     /// `HOST:PORT` as written.
     address: String,
     weight: f64,
-    /// `ready`, `draining`, or none for one that is switched off.
+    /// `ready`, `draining`, or `None` for a disabled member.
     status: Option<&'static str>,
 }
 
-/// A balancer: a service here.
+/// A balancer of the source file; it becomes a project of the configuration.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Balancer {
     name: String,
     members: Vec<Member>,
     attempts: Option<u32>,
-    wait_ms: Option<f64>,
+    timeout_ms: Option<f64>,
 }
 
-/// What was read.
+/// The contents of a source file.
 #[derive(Debug, Default)]
-struct Read {
+struct SourceFile {
     balancers: Vec<Balancer>,
     connect_timeout_ms: Option<f64>,
     reports: Vec<Report>,
 }
 
-impl Read {
+impl SourceFile {
     fn report(&mut self, line: usize, text: impl Into<String>) {
         self.reports.push(Report { line, text: text.into() });
     }
 }
 
-/// Makes a configuration of a file's text.
+/// Deadline of clients, in milliseconds, if the source file has no timeout.
+const DEFAULT_TIMEOUT_MS: f64 = 5000.0;
+/// Timeout of connection attempts, in milliseconds, if the source file has none.
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1000.0;
+/// Maximum number of attempts if the source file has none.
+const DEFAULT_MAX_ATTEMPTS: u32 = 4;
+
+/// Converts the text of a source file to a configuration, and reports what was not converted.
 pub fn import(text: &str) -> (Value, Vec<Report>) {
-    let worker = |line: &str| line.trim_start().starts_with("worker.");
-    let read = if text.lines().any(worker) { jk::read(text) } else { apache::read(text) };
-    configuration(read)
+    let is_worker_property = |line: &str| line.trim_start().starts_with("worker.");
+    let source = if text.lines().any(is_worker_property) { jk::parse(text) } else { apache::parse(text) };
+    configuration(source)
 }
 
-fn configuration(mut read: Read) -> (Value, Vec<Report>) {
-    let balancers = std::mem::take(&mut read.balancers);
+fn configuration(mut source: SourceFile) -> (Value, Vec<Report>) {
+    let balancers = std::mem::take(&mut source.balancers);
     let mut endpoints: Vec<Value> = Vec::new();
     let mut names: Vec<String> = Vec::new();
     let mut projects = Vec::new();
     if balancers.len() > 1 {
-        read.report(0, "several balancers: their members become one list, which all services share");
+        source.report(0, "several balancers: their members become one list that all projects share");
     }
     for balancer in &balancers {
         for member in &balancer.members {
             let Some(status) = member.status else {
-                read.report(member.line, format!("member {} is switched off: left out", member.name));
+                source.report(member.line, format!("member {} is disabled: skipped", member.name));
                 continue;
             };
             let address = member.address.replace("localhost", "127.0.0.1");
-            // No names are looked up where this runs.
+            // Host names are rejected: the balancer runs without name resolution.
             let Ok(address) = address.parse::<SocketAddr>() else {
                 let text = format!(
-                    "member {}: {:?} is no IP address and port: left out",
+                    "member {}: {:?} is not an IP address with a port: skipped",
                     member.name, member.address
                 );
-                read.report(member.line, text);
+                source.report(member.line, text);
                 continue;
             };
             if names.contains(&member.name) {
@@ -95,30 +102,31 @@
         if let Some(attempts) = balancer.attempts {
             project["SendCap"] = json!(attempts);
         }
-        if let Some(ms) = balancer.wait_ms {
+        if let Some(ms) = balancer.timeout_ms {
             project["DeadlineMs"] = json!(ms);
         }
         projects.push(project);
     }
-    let wait = balancers.iter().filter_map(|b| b.wait_ms).fold(0.0, f64::max);
-    let wait = if wait > 0.0 { wait } else { 5000.0 };
-    let most = balancers.iter().filter_map(|b| b.attempts).max().unwrap_or(4);
+    let timeout_ms = balancers.iter().filter_map(|b| b.timeout_ms).fold(0.0, f64::max);
+    let timeout_ms = if timeout_ms > 0.0 { timeout_ms } else { DEFAULT_TIMEOUT_MS };
+    let max_attempts = balancers.iter().filter_map(|b| b.attempts).max().unwrap_or(DEFAULT_MAX_ATTEMPTS);
     let config = json!({
         "name": "imported", "listen": "127.0.0.1:3000", "discovery": "127.0.0.1:8500", "seed": "1",
         "limits": {"sockets": 1024},
         "known": {"index": 0, "snapshot": true, "endpoints": endpoints},
         "settings": {
             "Areas": ["here"], "MyZone": "here", "PeersTotal": 1, "RegistryMode": "subscribe", "Weights": "nominal",
-            "Classes": [{"Name": "all", "AimMs": wait / 2.0, "DeadlineMs": wait, "Effect": "free", "Group": "all"}],
+            "Classes": [{"Name": "all", "AimMs": timeout_ms / 2.0, "DeadlineMs": timeout_ms, "Effect": "free", "Group": "all"}],
             "Guarantees": {"ColdShare": 1.0, "DrainGraceMs": 500, "MustAskInMs": 10000},
-            "PolicyLimits": {"SendCap": most, "ConnectTimeoutMs": read.connect_timeout_ms.unwrap_or(1000.0),
+            "PolicyLimits": {"SendCap": max_attempts,
+                "ConnectTimeoutMs": source.connect_timeout_ms.unwrap_or(DEFAULT_CONNECT_TIMEOUT_MS),
                 "RetryAfter": true, "MaxRetryAfterMs": 2000},
             "Projects": projects
         }
     });
     if config["known"]["endpoints"].as_array().is_none_or(Vec::is_empty) {
-        read.report(0, "no member could be taken over");
+        source.report(0, "no member could be converted");
     }
-    read.reports.sort_by_key(|r| r.line);
-    (config, read.reports)
+    source.reports.sort_by_key(|r| r.line);
+    (config, source.reports)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads its command line and hands on.
+//! Entry point of the `oakdeal` program; the command line is in [`oakdeal::cli`].
 
 use std::process::ExitCode;
 
