--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -6,7 +6,7 @@
 use crate::scenario::Kind;
 use crate::score::record::{letter, Attempt, What};
 use oakdeal::broker::SILENT;
-use oakdeal::serve::FIRST_LIST;
+use oakdeal::serve::FIRST_LIST_TIMEOUT;
 use oakdeal::{Event, HostState, ListKind, Micros, Outcome};
 use rand::RngExt;
 
@@ -276,7 +276,7 @@
         if matches!(choice, Choice::Own | Choice::Drill(_)) {
             self.nodes[n].waits_for_list = true;
             let epoch = self.nodes[n].epoch;
-            self.at(self.now + FIRST_LIST, Ev::Listen(n, epoch));
+            self.at(self.now + FIRST_LIST_TIMEOUT, Ev::Listen(n, epoch));
         }
         self.known(n);
     }
--- a/src/cli/account.rs
+++ b/src/cli/account.rs
@@ -1,6 +1,6 @@
-//! `oakdeal contracts account`: the teams' accounts from the log.
+//! `oakdeal contracts account`: prints the teams' accounts from logs.
 
-use super::table;
+use super::new_table;
 use crate::contracts::ledger::Reason;
 use crate::logging::ACCOUNT_TARGET;
 use serde::Deserialize;
@@ -8,14 +8,14 @@
 use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
 
-/// A line of the log; what it has beside is not looked at.
+/// A line of the log; other fields are ignored.
 #[derive(Deserialize)]
 struct Record {
     target: Option<String>,
     fields: Option<serde_json::Value>,
 }
 
-/// An account as the log has it, or a sum of some.
+/// A team's account as it was logged by one run of one balancer.
 #[derive(Deserialize, Clone, Default, Debug, PartialEq)]
 #[serde(default)]
 pub struct Entry {
@@ -24,15 +24,15 @@
     team: String,
     held: u64,
     contract: u64,
-    /// Requests that came.
+    /// Number of requests received.
     pub asked: u64,
-    /// Let in within the contract.
+    /// Number of requests admitted within the contract.
     pub within: u64,
-    /// Let in beyond it.
+    /// Number of requests admitted beyond the contract.
     pub borrowed: u64,
-    /// Whose connection stood.
+    /// Number of requests whose connection was established.
     pub served: u64,
-    /// Asked to move.
+    /// Number of connections that were asked to move.
     pub moved: u64,
     used_s: f64,
     allowed_s: f64,
@@ -43,20 +43,20 @@
 }
 
 impl Entry {
-    fn refused(&self, why: Reason) -> u64 {
-        let key = format!("refused_{}", why.name());
+    fn refused(&self, reason: Reason) -> u64 {
+        let key = format!("refused_{}", reason.name());
         self.more.get(&key).and_then(serde_json::Value::as_u64).unwrap_or(0)
     }
 }
 
-/// Of each start of each balancer the latest record of each team, whoever wrote it: in a group one writes for all. Lines that
-/// are none are counted.
-pub fn read(log: impl Read, into: &mut BTreeMap<(String, u64, String), Entry>) -> Result<usize, String> {
-    let mut foreign = 0;
+/// Reads the latest record of each team in each run of each balancer, whichever process logged it: in a group one process logs
+/// for all. Returns the number of lines that are not valid records.
+pub fn read(log: impl Read, entries: &mut BTreeMap<(String, u64, String), Entry>) -> Result<usize, String> {
+    let mut invalid_lines = 0;
     for line in BufReader::new(log).lines() {
         let line = line.map_err(|e| format!("cannot be read: {e}"))?;
         let Ok(record) = serde_json::from_str::<Record>(&line) else {
-            foreign += 1;
+            invalid_lines += 1;
             continue;
         };
         if record.target.as_deref() != Some(ACCOUNT_TARGET) {
@@ -66,17 +66,17 @@
         match entry {
             Some(Ok(entry)) => {
                 let key = (entry.balancer.clone(), entry.started, entry.team.clone());
-                let counted = |e: &Entry| (e.asked, e.moved, e.allowed_s);
-                match into.get_mut(&key) {
-                    Some(known) if counted(known) > counted(&entry) => {}
+                let progress = |e: &Entry| (e.asked, e.moved, e.allowed_s);
+                match entries.get_mut(&key) {
+                    Some(known) if progress(known) > progress(&entry) => {}
                     Some(known) => *known = entry,
-                    None => drop(into.insert(key, entry)),
+                    None => drop(entries.insert(key, entry)),
                 }
             }
-            _ => foreign += 1,
+            _ => invalid_lines += 1,
         }
     }
-    Ok(foreign)
+    Ok(invalid_lines)
 }
 
 fn open(path: &Path) -> Result<Box<dyn Read>, String> {
@@ -89,36 +89,36 @@
 
 /// Prints the accounts of all logs as a table.
 pub fn account(logs: &[PathBuf]) -> Result<(), String> {
-    let (mut all, mut foreign) = (BTreeMap::new(), 0);
+    let (mut accounts, mut invalid_lines) = (BTreeMap::new(), 0);
     for path in logs {
-        foreign += read(open(path)?, &mut all).map_err(|e| format!("{} {e}", path.display()))?;
+        invalid_lines += read(open(path)?, &mut accounts).map_err(|e| format!("{} {e}", path.display()))?;
     }
-    if foreign > 0 {
+    if invalid_lines > 0 {
         eprintln!(
-            "warning: {foreign} lines are no JSON records: was the log written with --log-format json?"
+            "warning: {invalid_lines} lines are not JSON records: was the log written with --log-format json?"
         );
     }
-    if all.is_empty() {
+    if accounts.is_empty() {
         return Err("no account in these logs: contracts are off, or the log is not in JSON lines".into());
     }
     let mut teams: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
-    all.values().for_each(|entry| teams.entry(&entry.team).or_default().push(entry));
-    let told = |why: &Reason| teams.values().flatten().any(|entry| entry.refused(*why) > 0);
-    let reasons: Vec<Reason> = Reason::ALL.into_iter().filter(told).collect();
+    accounts.values().for_each(|entry| teams.entry(&entry.team).or_default().push(entry));
+    let has_refusals = |reason: &Reason| teams.values().flatten().any(|entry| entry.refused(*reason) > 0);
+    let reasons: Vec<Reason> = Reason::ALL.into_iter().filter(has_refusals).collect();
     let mut header = vec!["team", "asked", "within", "borrowed", "served"];
-    let refused: Vec<String> = reasons.iter().map(|why| format!("no: {why}")).collect();
+    let refused: Vec<String> = reasons.iter().map(|reason| format!("no: {reason}")).collect();
     header.extend(refused.iter().map(String::as_str));
     header.extend(["moved", "held", "used s", "over s", "contracted s", "budget left s"]);
-    let mut out = table(&header);
+    let mut table = new_table(&header);
     for (team, entries) in teams {
-        let sum = |of: &dyn Fn(&Entry) -> u64| entries.iter().map(|e| of(e)).sum::<u64>().to_string();
+        let sum = |value: &dyn Fn(&Entry) -> u64| entries.iter().map(|e| value(e)).sum::<u64>().to_string();
         let seconds =
-            |of: &dyn Fn(&Entry) -> f64| format!("{:.1}", entries.iter().map(|e| of(e)).sum::<f64>());
-        // What a balancer held and had left is over when it has been started again.
+            |value: &dyn Fn(&Entry) -> f64| format!("{:.1}", entries.iter().map(|e| value(e)).sum::<f64>());
+        // Held connections and remaining budget count for the last run of each balancer only.
         let last: BTreeMap<&str, &Entry> = entries.iter().map(|e| (e.balancer.as_str(), *e)).collect();
         let mut row = vec![team.to_string()];
         row.extend([sum(&|e| e.asked), sum(&|e| e.within), sum(&|e| e.borrowed), sum(&|e| e.served)]);
-        row.extend(reasons.iter().map(|&why| sum(&|e| e.refused(why))));
+        row.extend(reasons.iter().map(|&reason| sum(&|e| e.refused(reason))));
         row.extend([sum(&|e| e.moved), last.values().map(|e| e.held).sum::<u64>().to_string()]);
         row.extend([seconds(&|e| e.used_s), seconds(&|e| e.over_s), seconds(&|e| e.allowed_s)]);
         let budget: Vec<f64> = last.values().filter_map(|e| e.budget_left_s).collect();
@@ -126,8 +126,8 @@
             true => "-".into(),
             false => format!("{:.1}", budget.iter().sum::<f64>()),
         });
-        out.add_row(row);
+        table.add_row(row);
     }
-    println!("{out}");
+    println!("{table}");
     Ok(())
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,18 +1,18 @@
-//! `oakdeal check`: whether a file would be taken.
+//! `oakdeal check`: checks whether a file is valid.
 
 use crate::config::Config;
 use crate::operator::Operator;
 use std::path::Path;
 
-/// Checks an operator's file or a platform configuration.
+/// Checks an operator's file or a platform configuration, and prints the result.
 pub fn check(path: &Path, config: Option<&Path>) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     if text.trim_start().starts_with('{') {
         let config = Config::parse(path, &text)?;
-        let told = |e: crate::SettingsError| format!("{}: {e}", path.display());
-        let (settings, _) = config.settings.translate().map_err(told)?;
-        settings.validate().map_err(told)?;
-        println!("{}: a platform configuration, good", path.display());
+        let error = |e: crate::SettingsError| format!("{}: {e}", path.display());
+        let (settings, _) = config.settings.translate().map_err(error)?;
+        settings.validate().map_err(error)?;
+        println!("{}: valid platform configuration", path.display());
         return Ok(());
     }
     let operator = Operator::parse(path, &text).map_err(|e| e.to_string())?;
@@ -28,7 +28,7 @@
         eprintln!("warning: {warning}");
     }
     let teams = operator.terms.as_ref().map_or(0, |t| t.contracts.len());
-    let front = if operator.xmpp.is_some() { "on" } else { "off" };
-    println!("{}: an operator's file, good: {teams} contracts, the XMPP front {front}", path.display());
+    let listener = if operator.xmpp.is_some() { "on" } else { "off" };
+    println!("{}: valid operator's file: {teams} contracts, XMPP listener {listener}", path.display());
     Ok(())
 }
--- a/src/cli/contracts.rs
+++ b/src/cli/contracts.rs
@@ -1,17 +1,21 @@
-//! `oakdeal contracts show`: contracts as a table.
+//! `oakdeal contracts show`: prints contracts as a table.
 
-use super::table;
+use super::new_table;
 use crate::config::Config;
 use crate::operator::Operator;
 use std::path::Path;
 
-/// Prints the contracts of a file, and what each balancer enforces of them.
+/// Excess over a whole number of connections that is a rounding error and is not rounded up (in connections).
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+
+/// Prints the contracts of a file, and the share of them that each balancer enforces.
 pub fn show(path: &Path, balancers: Option<u32>, config: Option<&Path>) -> Result<(), String> {
     let operator = Operator::read(path, true).map_err(|e| e.to_string())?;
-    let told = || config.map(Config::read).transpose().map(|c| c.and_then(|(c, _)| c.settings.peers_total));
+    let configured =
+        || config.map(Config::read).transpose().map(|c| c.and_then(|(c, _)| c.settings.peers_total));
     let balancers = match balancers {
         Some(n) => n,
-        None => told()?.unwrap_or(1),
+        None => configured()?.unwrap_or(1),
     }
     .max(1);
     let Some(terms) = operator.terms else {
@@ -19,8 +23,8 @@
         return Ok(());
     };
     let sum: f64 = terms.contracts.iter().map(|c| c.connections).sum();
-    let cut = terms.capacity.map_or(1.0, |c| (c / sum.max(f64::MIN_POSITIVE)).min(1.0));
-    let mut all = table(&[
+    let reduction_factor = terms.capacity.map_or(1.0, |c| (c / sum.max(f64::MIN_POSITIVE)).min(1.0));
+    let mut table = new_table(&[
         "team",
         "connections",
         "when all come",
@@ -36,26 +40,27 @@
         "classes",
     ]);
     for c in &terms.contracts {
-        let figures = c.values_by_key();
-        let figure = |key: &str| figures.get(key).cloned().unwrap_or_else(|| "-".into());
-        let each = (c.connections * cut / f64::from(balancers) - 1e-9).ceil();
-        all.add_row([
+        let values = c.values_by_key();
+        let value = |key: &str| values.get(key).cloned().unwrap_or_else(|| "-".into());
+        let per_balancer =
+            (c.connections * reduction_factor / f64::from(balancers) - ROUNDING_TOLERANCE).ceil();
+        table.add_row([
             c.team.to_string(),
-            figure("connections"),
-            format!("{:.1}", c.connections * cut),
-            each.to_string(),
-            figure("rate"),
-            figure("burst"),
-            figure("budget"),
-            figure("weight"),
-            figure("borrow"),
-            figure("deadline"),
-            figure("attempts"),
-            figure("retry"),
+            value("connections"),
+            format!("{:.1}", c.connections * reduction_factor),
+            per_balancer.to_string(),
+            value("rate"),
+            value("burst"),
+            value("budget"),
+            value("weight"),
+            value("borrow"),
+            value("deadline"),
+            value("attempts"),
+            value("retry"),
             c.classes.as_ref().map_or_else(|| "all".into(), |classes| classes.join(",")),
         ]);
     }
-    println!("{all}");
+    println!("{table}");
     let capacity = terms.capacity.map_or_else(|| "learned".into(), |c| c.to_string());
     println!("\ncapacity {capacity}, contracts sum to {sum}, {balancers} balancers");
     operator.warnings.iter().for_each(|w| eprintln!("warning: {w}"));
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The command line. Each sub-command parses, calls and prints; nothing is decided here.
+//! The command line. Each sub-command parses its arguments, calls the library and prints the result.
 //!
-//! Exit codes: 0 good, 1 failed (the line on standard error says why), 2 wrong use.
+//! Exit codes: 0 success, 1 failure (one line on standard error gives the reason), 2 invalid usage.
 
 mod account;
 mod check;
@@ -9,7 +9,7 @@
 mod zones;
 
 use crate::logging::{self, Format};
-use crate::operator::PLACE;
+use crate::operator::DEFAULT_PATH;
 use crate::serve::{self, Sources};
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
@@ -18,8 +18,8 @@
 /// A balancer for long-lived connections, and a broker between the services of many teams.
 #[derive(Parser, Debug)]
 #[command(name = "oakdeal", version, args_conflicts_with_subcommands = true, disable_help_subcommand = true)]
-#[command(after_help = "Without a sub-command it serves. Exit codes: 0 good, 1 failed, 2 wrong use.")]
-struct Line {
+#[command(after_help = "Without a sub-command it serves. Exit codes: 0 success, 1 failure, 2 invalid usage.")]
+struct CommandLine {
     #[command(subcommand)]
     command: Option<Command>,
     #[command(flatten)]
@@ -32,48 +32,48 @@
     Serve(Serve),
     /// Checks an operator's file (TOML) or a platform configuration (JSON)
     Check {
-        /// The file
+        /// Path of the file
         file: PathBuf,
-        /// A platform configuration whose classes the operator's file is checked against
+        /// Platform configuration against whose classes the operator's file is checked
         #[arg(long, env = "LB_CONFIG", value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Makes a configuration of Apache's balancer or mod_jk worker files
+    /// Converts an Apache balancer or mod_jk worker file to a platform configuration
     ///
-    /// It goes to standard output; what could not be taken over goes to standard error, line by line.
+    /// Prints the configuration to standard output, and each line that could not be converted to standard error.
     Import {
-        /// A worker file, or a file with <Proxy balancer://...> sections
+        /// Path of a worker file, or of a file with <Proxy balancer://...> sections
         file: PathBuf,
     },
-    /// Shows contracts, and what teams used of them
+    /// Shows contracts, and how teams used them
     #[command(subcommand)]
     Contracts(Contracts),
-    /// Founds, shows and steers the group of balancers that decide together
+    /// Creates, shows and controls the group of balancers that coordinate
     #[command(subcommand)]
     Group(group::Group),
-    /// Shows and steers the fleet's plan for zones
+    /// Shows and controls the fleet's plan for zones
     #[command(subcommand)]
     Zones(zones::Zones),
 }
 
 #[derive(Subcommand, Debug)]
 enum Contracts {
-    /// Prints the contracts of an operator's file, with what each balancer enforces
+    /// Prints the contracts of an operator's file, and the share that each balancer enforces
     Show {
-        /// The operator's file
+        /// Path of the operator's file
         file: PathBuf,
-        /// How many balancers share the contracts [default: as the configuration says, else 1]
+        /// Number of balancers that share the contracts [default: from the configuration, else 1]
         #[arg(long)]
         balancers: Option<u32>,
-        /// The platform configuration that says how many
+        /// Platform configuration with the number of balancers
         #[arg(long, env = "LB_CONFIG", value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Prints what each team asked for, got and used, from logs in JSON lines
+    /// Prints what each team requested, got and used, from logs in JSON lines
     ///
-    /// Of each start of each balancer the last record counts; starts and balancers are added up.
+    /// The last record of each run of each balancer counts; the totals are sums over runs and balancers.
     Account {
-        /// Logs, or `-` for standard input
+        /// Paths of the logs, or `-` for standard input
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
@@ -81,35 +81,35 @@
 
 #[derive(Args, Debug)]
 struct Serve {
-    /// The platform's configuration
+    /// Path of the platform's configuration
     #[arg(long, env = "LB_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operator's file [default: deploy/oakdeal.toml, where there is one]
+    /// Path of the operator's file [default: deploy/oakdeal.toml, if it exists]
     #[arg(long, env = "OAKDEAL_OPERATOR", value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// How the log's lines look
+    /// Format of the log's lines
     #[arg(long, env = "OAKDEAL_LOG_FORMAT", value_enum, default_value_t)]
     log_format: Format,
-    /// What is logged, by target and level, as in `oakdeal=debug,warn`
+    /// Log filter by target and level, such as `oakdeal=debug,warn`
     #[arg(long, env = "RUST_LOG", value_name = "FILTER", default_value = "info")]
     log: String,
 }
 
-/// Reads the command line, does what it says, and ends with its exit code.
+/// Parses the command line, runs the command and returns its exit code.
 pub fn main() -> ExitCode {
-    let line = Line::parse();
-    let done = match line.command.unwrap_or(Command::Serve(line.serve)) {
+    let line = CommandLine::parse();
+    let result = match line.command.unwrap_or(Command::Serve(line.serve)) {
         Command::Serve(serve) => start(serve),
         Command::Check { file, config } => check::check(&file, config.as_deref()),
         Command::Import { file } => import(&file),
-        Command::Group(call) => group::run(call),
-        Command::Zones(call) => zones::run(call),
+        Command::Group(command) => group::run(command),
+        Command::Zones(command) => zones::run(command),
         Command::Contracts(Contracts::Show { file, balancers, config }) => {
             contracts::show(&file, balancers, config.as_deref())
         }
         Command::Contracts(Contracts::Account { logs }) => account::account(&logs),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("oakdeal: {e}");
@@ -118,12 +118,16 @@
     }
 }
 
-fn start(told: Serve) -> Result<(), String> {
-    let config = told.config.ok_or("LB_CONFIG, or --config, must name the configuration file")?;
-    serve::forgotten(Path::new("."))?;
-    logging::start(told.log_format, &told.log)?;
-    let named = told.operator.is_some();
-    let sources = Sources { config, operator: told.operator.unwrap_or_else(|| PLACE.into()), named };
+fn start(arguments: Serve) -> Result<(), String> {
+    let config = arguments.config.ok_or("LB_CONFIG, or --config, must name the configuration file")?;
+    serve::reject_obsolete_files(Path::new("."))?;
+    logging::start(arguments.log_format, &arguments.log)?;
+    let operator_required = arguments.operator.is_some();
+    let sources = Sources {
+        config,
+        operator: arguments.operator.unwrap_or_else(|| DEFAULT_PATH.into()),
+        operator_required,
+    };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, serve::run(sources))
@@ -139,8 +143,8 @@
     Ok(())
 }
 
-/// A table as all sub-commands print them.
-fn table(header: &[&str]) -> comfy_table::Table {
+/// Returns an empty table in the style of all sub-commands: without borders, all columns but the first aligned right.
+fn new_table(header: &[&str]) -> comfy_table::Table {
     let mut table = comfy_table::Table::new();
     table.load_preset(comfy_table::presets::NOTHING).set_header(header);
     let columns = table.column_iter_mut().skip(1);
@@ -153,14 +157,15 @@
     use super::*;
     use clap::CommandFactory;
 
-    /// Guards against a command line that contradicts itself: clap finds that only when it runs.
+    /// Guards against inconsistent definitions of arguments, which clap detects only at run time.
     #[test]
-    fn the_command_line_is_sound() {
-        Line::command().debug_assert();
-        assert!(Line::parse_from(["oakdeal"]).command.is_none());
-        let line = Line::parse_from(["oakdeal", "serve", "--operator", "x.toml", "--log-format", "json"]);
+    fn the_command_line_is_consistent_and_parses_its_arguments() {
+        CommandLine::command().debug_assert();
+        assert!(CommandLine::parse_from(["oakdeal"]).command.is_none());
+        let line =
+            CommandLine::parse_from(["oakdeal", "serve", "--operator", "x.toml", "--log-format", "json"]);
         let Some(Command::Serve(serve)) = line.command else { panic!("{line:?}") };
         assert_eq!((serve.operator, serve.log_format), (Some("x.toml".into()), Format::Json));
-        assert!(Line::try_parse_from(["oakdeal", "contracts", "account"]).is_err());
+        assert!(CommandLine::try_parse_from(["oakdeal", "contracts", "account"]).is_err());
     }
 }
--- a/src/cli/zones.rs
+++ b/src/cli/zones.rs
@@ -1,74 +1,75 @@
-//! `oakdeal zones`: what the fleet's plan for zones says, an operator's word on a zone, and what the planner would have done.
+//! `oakdeal zones`: shows the fleet's plan for zones, sends operators' orders on zones, and replays a log to the planner.
 
 use super::group::send_admin_command;
+use crate::api::Micros;
 use crate::config::Config;
 use crate::failover::evidence::Digest;
 use crate::failover::plan::{Plan, Planner};
 use crate::group::task::EVIDENCE_TARGET;
 use crate::operator::Operator;
-use crate::serve::worthiest;
+use crate::serve::classes_by_worth;
 use clap::Subcommand;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What can be done.
+/// Sub-commands of `oakdeal zones`.
 #[derive(Subcommand, Debug)]
 pub enum Zones {
-    /// Shows state, reason, room and shares of each zone; at whoever makes the plan also who follows which
+    /// Shows state, reason, capacity and shares of each zone; on the planning balancer also which plan each balancer follows
     Show {
-        /// The admin address of a balancer
+        /// Admin address of a balancer
         admin: SocketAddr,
     },
-    /// Empties a zone within a time; it goes before the planner until it ends or is released
+    /// Moves all traffic out of a zone; overrides the planner until it expires or is released
     Evacuate {
-        /// The admin address of any balancer of the group
+        /// Admin address of any balancer of the group
         admin: SocketAddr,
-        /// The zone
+        /// Name of the zone
         zone: String,
-        /// Within so long, as in `60s`
+        /// Time within which the traffic is moved, such as `60s`
         #[arg(long, default_value = "60s")]
         over: humantime::Duration,
-        /// It counts for so long
+        /// Time until the order expires
         #[arg(long, default_value = "1h")]
         lasts: humantime::Duration,
     },
-    /// Keeps a zone as it is, whatever is seen, until that ends or is released
+    /// Keeps a zone in its present state, whatever is observed, until the order expires or is released
     Hold {
-        /// The admin address of any balancer of the group
+        /// Admin address of any balancer of the group
         admin: SocketAddr,
-        /// The zone
+        /// Name of the zone
         zone: String,
-        /// It counts for so long
+        /// Time until the order expires
         #[arg(long, default_value = "1h")]
         lasts: humantime::Duration,
     },
-    /// Takes back what an operator wanted of a zone
+    /// Cancels an operator's order on a zone
     Release {
-        /// The admin address of any balancer of the group
+        /// Admin address of any balancer of the group
         admin: SocketAddr,
-        /// The zone
+        /// Name of the zone
         zone: String,
     },
-    /// Prints what the planner would have done on a recorded day
+    /// Prints the plans that the planner would have made from a log
     Plan {
-        /// A log in JSON lines with the target oakdeal::evidence at debug
+        /// Path of a log in JSON lines with the target oakdeal::evidence at debug
         #[arg(long, value_name = "RECORD")]
         what_if: PathBuf,
-        /// The operator's file whose [failover] counts
+        /// Path of the operator's file whose [failover] is used
         #[arg(long, env = "OAKDEAL_OPERATOR", value_name = "FILE")]
         operator: PathBuf,
-        /// The platform configuration, for zones and classes
+        /// Path of the platform configuration, for zones and classes
         #[arg(long, env = "LB_CONFIG", value_name = "FILE")]
         config: PathBuf,
     },
 }
 
-/// Does it.
-pub fn run(call: Zones) -> Result<(), String> {
+/// Runs a sub-command.
+pub fn run(command: Zones) -> Result<(), String> {
     let seconds = |span: humantime::Duration| span.as_secs().max(1);
-    match call {
+    match command {
         Zones::Show { admin } => send_admin_command(admin, "ZONES"),
         Zones::Evacuate { admin, zone, over, lasts } => {
             send_admin_command(admin, &format!("EVACUATE {zone} {} {}", seconds(over), seconds(lasts)))
@@ -77,21 +78,24 @@
             send_admin_command(admin, &format!("HOLD {zone} {}", seconds(lasts)))
         }
         Zones::Release { admin, zone } => send_admin_command(admin, &format!("RELEASE {zone}")),
-        Zones::Plan { what_if: record, operator, config } => what_if(&record, &operator, &config),
+        Zones::Plan { what_if: log, operator, config } => replay(&log, &operator, &config),
     }
 }
 
-/// Plays a record of digests to the planner; each plan that is another one is printed.
-fn what_if(record: &Path, operator: &Path, config: &Path) -> Result<(), String> {
-    let terms = Operator::read(operator, true).map_err(|e| e.to_string())?.failover;
-    let terms = terms.ok_or_else(|| format!("{}: has no [failover]: add it", operator.display()))?;
+/// Interval at which the planner runs during a replay, in microseconds.
+const REPLAY_STEP: Micros = 250_000;
+
+/// Replays the digests of a log to the planner and prints each plan with a new serial number.
+fn replay(log: &Path, operator: &Path, config: &Path) -> Result<(), String> {
+    let failover = Operator::read(operator, true).map_err(|e| e.to_string())?.failover;
+    let failover = failover.ok_or_else(|| format!("{}: has no [failover]: add it", operator.display()))?;
     let (settings, names) = Config::read(config)?.0.settings.translate().map_err(|e| e.to_string())?;
     let worths: Vec<f64> = settings.classes.iter().map(|c| c.worth).collect();
-    let classes = worthiest(names.classes(), &worths);
-    let mut planner = Planner::new(terms.clone(), names.zones().to_vec(), classes);
-    let file = std::fs::File::open(record).map_err(|e| format!("cannot read {}: {e}", record.display()))?;
-    let (mut plan, mut now, mut first, mut seen) = (None::<Plan>, None::<u64>, 0, 0);
-    let turn = |planner: &mut Planner, plan: &mut Option<Plan>, now: u64, first: u64| {
+    let classes = classes_by_worth(names.classes(), &worths);
+    let mut planner = Planner::new(failover.clone(), names.zones().to_vec(), classes);
+    let file = std::fs::File::open(log).map_err(|e| format!("cannot read {}: {e}", log.display()))?;
+    let (mut plan, mut now, mut first, mut digests) = (None::<Plan>, None::<u64>, 0, 0);
+    let advance = |planner: &mut Planner, plan: &mut Option<Plan>, now: u64, first: u64| {
         let Some(next) = planner.advance(now, plan.as_ref(), &BTreeMap::new()).0 else { return };
         if plan.as_ref().is_none_or(|old| old.serial != next.serial) {
             for (name, zone) in &next.zones {
@@ -115,22 +119,22 @@
         let digest =
             line["fields"]["digest"].as_str().and_then(|text| serde_json::from_str::<Digest>(text).ok());
         let (Some(mut digest), Some(us)) = (digest, line["fields"]["us"].as_u64()) else { continue };
-        // All follow what is planned here.
+        // In the replay every balancer follows the replayed plan.
         digest.follows = plan.as_ref().map(|plan| plan.serial);
         first = if now.is_none() { us } else { first };
         let mut at = now.unwrap_or(us);
-        while at + 250_000 <= us {
-            at += 250_000;
-            turn(&mut planner, &mut plan, at, first);
+        while at + REPLAY_STEP <= us {
+            at += REPLAY_STEP;
+            advance(&mut planner, &mut plan, at, first);
         }
         now = Some(at.max(now.unwrap_or(us)));
         planner.receive_digest(us, digest);
-        seen += 1;
+        digests += 1;
     }
-    match seen {
+    match digests {
         0 => Err(format!(
-            "{}: no digest in it: log oakdeal::evidence at debug in JSON lines",
-            record.display()
+            "{}: contains no digest: log oakdeal::evidence at debug in JSON lines",
+            log.display()
         )),
         _ => Ok(()),
     }
--- a/src/operator/failover.rs
+++ b/src/operator/failover.rs
@@ -1,13 +1,14 @@
-//! The section `[failover]`: regions of zones, what a zone carries, and how fast traffic leaves it and comes back.
+//! The section `[failover]`: regions of zones, capacity of zones, and how fast traffic leaves a zone and returns.
 
 use super::spans::Span;
+use crate::api::Micros;
 use crate::failover::FailoverSettings;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::ops::Range;
 use toml::Spanned;
 
-/// As it is written.
+/// The section as it is written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
@@ -26,7 +27,7 @@
     moves: Option<Spanned<f64>>,
 }
 
-/// How far it is from one zone to another.
+/// Distance from one zone to another (unitless).
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Distance {
@@ -35,55 +36,70 @@
     is: u32,
 }
 
+/// Maximum of every duration of the section, in microseconds: one hour.
+const MAX_SPAN: Micros = 3_600_000_000;
+/// Microseconds in a millisecond.
+const MICROS_PER_MS: Micros = 1_000;
+
 impl Table {
-    /// Checked; what is wrong, where, and the mend.
-    pub fn terms(self) -> Result<FailoverSettings, (Range<usize>, String)> {
-        let usual = FailoverSettings::default();
+    /// Checks the section and converts it to settings; an error has its position and the correction.
+    pub fn into_settings(self) -> Result<FailoverSettings, (Range<usize>, String)> {
+        let defaults = FailoverSettings::default();
         let regions = self.regions.get_ref();
         if !(2..=crate::failover::MAX_ZONES).contains(&regions.len()) {
-            let most = crate::failover::MAX_ZONES;
-            return Err((self.regions.span(), format!("name two to {most} zones, each with its region")));
+            let max = crate::failover::MAX_ZONES;
+            return Err((self.regions.span(), format!("name two to {max} zones, each with its region")));
         }
         for d in &self.distance {
             let Distance { from, to, is } = d.get_ref();
-            if let Some(lost) = [from, to].into_iter().find(|zone| !regions.contains_key(*zone)) {
+            if let Some(unknown) = [from, to].into_iter().find(|zone| !regions.contains_key(*zone)) {
                 return Err((
                     d.span(),
-                    format!("the zone {lost:?} is not in regions: correct it, or add it there"),
+                    format!("the zone {unknown:?} is not in regions: correct it, or add it there"),
                 ));
             }
             if from == to || *is == 0 {
-                return Err((d.span(), "a distance is from one zone to another, and 1 or more".into()));
+                return Err((
+                    d.span(),
+                    "a distance must be between two different zones, and 1 or more".into(),
+                ));
             }
         }
-        let span = |told: &Option<Spanned<Span>>, usual: u64, least: u64, name: &str| match told {
-            Some(v) if !(least..=3_600_000_000).contains(&v.get_ref().0) => {
-                Err((v.span(), format!("{name} must be {} ms to one hour", least / 1_000)))
-            }
-            told => Ok(told.as_ref().map_or(usual, |v| v.get_ref().0)),
-        };
-        let figure = |told: &Option<Spanned<f64>>, usual: f64, least: f64, most: f64, name: &str| match told {
-            Some(v) if !(least..=most).contains(v.get_ref()) => {
-                Err((v.span(), format!("{name} must be {least} to {most}")))
+        let span_or = |value: &Option<Spanned<Span>>, default: u64, min: u64, name: &str| match value {
+            Some(v) if !(min..=MAX_SPAN).contains(&v.get_ref().0) => {
+                Err((v.span(), format!("{name} must be {} ms to one hour", min / MICROS_PER_MS)))
             }
-            told => Ok(told.as_ref().map_or(usual, |v| *v.get_ref())),
+            value => Ok(value.as_ref().map_or(default, |v| v.get_ref().0)),
         };
-        let connections = figure(&Some(self.connections), 0.0, 0.01, 1e6, "connections")?;
+        let number_or =
+            |value: &Option<Spanned<f64>>, default: f64, min: f64, max: f64, name: &str| match value {
+                Some(v) if !(min..=max).contains(v.get_ref()) => {
+                    Err((v.span(), format!("{name} must be {min} to {max}")))
+                }
+                value => Ok(value.as_ref().map_or(default, |v| *v.get_ref())),
+            };
+        let connections = number_or(&Some(self.connections), 0.0, 0.01, 1e6, "connections")?;
         let distances = self.distance.iter().map(|d| d.get_ref());
-        let terms = FailoverSettings {
+        let settings = FailoverSettings {
             connections_per_server: connections,
             distances: distances.map(|d| ((d.from.clone(), d.to.clone()), d.is)).collect(),
-            usable_share: figure(&self.fill, usual.usable_share, 0.1, 1.0, "fill")?,
-            digest_interval: span(&self.tell, usual.digest_interval, 100_000, "tell")?,
-            failure_confirmation: span(&self.confirm, usual.failure_confirmation, 0, "confirm")?,
-            recovery_confirmation: span(&self.stay, usual.recovery_confirmation, 500_000, "stay")?,
-            return_step_interval: span(&self.step, usual.return_step_interval, 100_000, "step")?,
-            changeover_window: span(&self.over, usual.changeover_window, 0, "over")?,
-            plan_lifetime: span(&self.valid, usual.plan_lifetime, 1_000_000, "valid")?,
-            slow_setup: span(&self.slow, usual.slow_setup, 1_000, "slow")?,
-            fleet_moves_per_second: figure(&self.moves, usual.fleet_moves_per_second, 0.0, 1e6, "moves")?,
+            usable_share: number_or(&self.fill, defaults.usable_share, 0.1, 1.0, "fill")?,
+            digest_interval: span_or(&self.tell, defaults.digest_interval, 100_000, "tell")?,
+            failure_confirmation: span_or(&self.confirm, defaults.failure_confirmation, 0, "confirm")?,
+            recovery_confirmation: span_or(&self.stay, defaults.recovery_confirmation, 500_000, "stay")?,
+            return_step_interval: span_or(&self.step, defaults.return_step_interval, 100_000, "step")?,
+            changeover_window: span_or(&self.over, defaults.changeover_window, 0, "over")?,
+            plan_lifetime: span_or(&self.valid, defaults.plan_lifetime, 1_000_000, "valid")?,
+            slow_setup: span_or(&self.slow, defaults.slow_setup, 1_000, "slow")?,
+            fleet_moves_per_second: number_or(
+                &self.moves,
+                defaults.fleet_moves_per_second,
+                0.0,
+                1e6,
+                "moves",
+            )?,
             regions: self.regions.into_inner(),
         };
-        Ok(terms)
+        Ok(settings)
     }
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,8 +1,9 @@
-//! The operator's file: contracts between teams, the second front, the account. TOML, spans as text with a unit.
+//! The operator's file: contracts between teams, accounting, rebalancing, the group, failover and the XMPP listener, in TOML
+//! with durations as text with a unit.
 //!
-//! Promised: a file is read whole or refused with one message that names the file, the line and the mend; nothing
-//! of a refused one takes effect. A file that is absent means no contracts and no second front, as on the
-//! platform. Not here: the platform's JSON (`src/config.rs`), and what contracts mean (`src/contracts/`).
+//! Guarantees that a file is either accepted as a whole or rejected with one message that names the file, the line and the
+//! correction; nothing of a rejected file takes effect. A missing file means no contracts and no XMPP listener, as on the
+//! platform. The platform's JSON configuration is in `src/config.rs`, the meaning of contracts in `src/contracts/`.
 
 mod failover;
 mod group;
@@ -19,44 +20,44 @@
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
-/// Where it is looked for if nobody names another.
-pub const PLACE: &str = "deploy/oakdeal.toml";
-/// How often the account is written unless the file says otherwise.
-const EVERY: Micros = 60_000_000;
-/// No more often than this: each account is a record for each team.
-const LEAST_EVERY: Micros = 1_000_000;
+/// Path of the operator's file if none is given.
+pub const DEFAULT_PATH: &str = "deploy/oakdeal.toml";
+/// Default interval between two writes of the account, in microseconds.
+const DEFAULT_ACCOUNT_INTERVAL: Micros = 60_000_000;
+/// Minimum interval between two writes of the account, in microseconds: each write logs a record for every team.
+const MIN_ACCOUNT_INTERVAL: Micros = 1_000_000;
 
-/// A file that was read and checked.
+/// The settings of a file that was read and checked.
 #[derive(Debug, Default)]
 pub struct Operator {
-    /// The contracts; none where the file names no team.
+    /// The contracts; `None` if the file names no team.
     pub terms: Option<Terms>,
-    /// How often the account is written.
-    pub every: Micros,
-    /// Slow rebalancing; none where it is not wanted.
+    /// Interval between two writes of the account.
+    pub account_interval: Micros,
+    /// Rebalancing; `None` if it is off.
     pub rebalance: Option<rebalance::RebalanceSettings>,
-    /// The second front, where it has an address.
+    /// The XMPP listener, if it has an address.
     pub xmpp: Option<Xmpp>,
-    /// The balancers that decide together, where there are any.
+    /// The group of balancers that coordinate, if there is one.
     pub group: Option<crate::group::Settings>,
-    /// Zones by the fleet's plan, where that is wanted.
+    /// Failover between zones by the fleet's plan, if configured.
     pub failover: Option<crate::failover::FailoverSettings>,
-    /// What is legal and yet worth a look.
-    pub warnings: Vec<Message>,
+    /// Settings that are valid but probably not intended.
+    pub warnings: Vec<Diagnostic>,
 }
 
-/// What is wrong with a file, or worth a look: where, and the mend.
+/// An error or a warning about a file: where it is, and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Message {
+pub struct Diagnostic {
     /// The file.
     pub file: PathBuf,
-    /// The line, from 1; 0 for the file as a whole.
+    /// Line number, from 1; 0 for the file as a whole.
     pub line: usize,
-    /// What and how to mend it.
+    /// The problem and its correction.
     pub text: String,
 }
 
-impl fmt::Display for Message {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
             0 => write!(f, "{}: {}", self.file.display(), self.text),
@@ -109,31 +110,33 @@
 }
 
 impl RebalanceTable {
-    fn terms(&self) -> Result<Option<rebalance::RebalanceSettings>, (Range<usize>, String)> {
-        let usual = rebalance::RebalanceSettings::default();
-        let figure =
-            |told: &Option<Spanned<f64>>, usual: f64, good: &dyn Fn(f64) -> bool, text: &str| match told {
-                Some(v) if !good(*v.get_ref()) => Err((v.span(), text.to_string())),
-                told => Ok(told.as_ref().map_or(usual, |v| *v.get_ref())),
+    /// Checks the section and converts it to settings; `None` if rebalancing is off.
+    fn settings(&self) -> Result<Option<rebalance::RebalanceSettings>, (Range<usize>, String)> {
+        let defaults = rebalance::RebalanceSettings::default();
+        let number_or =
+            |value: &Option<Spanned<f64>>, default: f64, valid: &dyn Fn(f64) -> bool, text: &str| match value
+            {
+                Some(v) if !valid(*v.get_ref()) => Err((v.span(), text.to_string())),
+                value => Ok(value.as_ref().map_or(default, |v| *v.get_ref())),
             };
         let positive = |v: f64| v.is_finite() && v > 0.0;
-        let terms = rebalance::RebalanceSettings {
-            moves_per_second: figure(
+        let settings = rebalance::RebalanceSettings {
+            moves_per_second: number_or(
                 &self.rate,
-                usual.moves_per_second,
+                defaults.moves_per_second,
                 &positive,
                 "rate must be more than 0 moves a second",
             )?,
-            dead_band: figure(
+            dead_band: number_or(
                 &self.band,
-                usual.dead_band,
+                defaults.dead_band,
                 &|v| (0.01..=1.0).contains(&v),
                 "band must be 0.01 to 1",
             )?,
-            min_age: self.young.map_or(usual.min_age, |span| span.0),
+            min_age: self.young.map_or(defaults.min_age, |span| span.0),
             excluded_classes: self.never.clone(),
         };
-        Ok(self.on.then_some(terms))
+        Ok(self.on.then_some(settings))
     }
 }
 
@@ -171,8 +174,8 @@
 }
 
 impl TeamTable {
-    /// Where a key stands, to point at what is wrong with it.
-    fn place(&self, key: &str) -> Option<Range<usize>> {
+    /// Returns the position of a key's value in the file, for diagnostics.
+    fn key_span(&self, key: &str) -> Option<Range<usize>> {
         match key {
             "classes" => self.classes.as_ref().map(Spanned::span),
             "connections" => self.connections.as_ref().map(Spanned::span),
@@ -190,13 +193,13 @@
     fn contract(&self) -> Result<Contract, (&'static str, String)> {
         let team = self.name.get_ref();
         let rate = match (&self.rate, &self.burst) {
-            // As many at once as come in a second, unless it says otherwise.
+            // The burst defaults to the requests of one second.
             (Some(rate), burst) => Some(Rate {
                 per_second: *rate.get_ref(),
                 burst: burst.as_ref().map_or(rate.get_ref().max(1.0), |b| *b.get_ref()),
             }),
             (None, Some(_)) => {
-                return Err(("burst", "says how many may come at once of a `rate`: add `rate`".into()))
+                return Err(("burst", "needs the `rate` that it belongs to: add `rate`".into()))
             }
             (None, None) => None,
         };
@@ -226,41 +229,42 @@
     }
 }
 
-/// The line that a byte of a text stands on.
-fn line_of(text: &str, at: usize) -> usize {
-    text.as_bytes()[..at.min(text.len())].iter().filter(|&&b| b == b'\n').count() + 1
+/// Returns the line number, from 1, of a byte offset in a text.
+fn line_number(text: &str, offset: usize) -> usize {
+    text.as_bytes()[..offset.min(text.len())].iter().filter(|&&b| b == b'\n').count() + 1
 }
 
 impl Operator {
-    /// Reads a file; one that does not exist is as good as an empty one unless somebody named it.
-    pub fn read(path: &Path, named: bool) -> Result<Operator, Message> {
+    /// Reads a file. A missing file counts as an empty one unless it is required.
+    pub fn read(path: &Path, required: bool) -> Result<Operator, Diagnostic> {
         match std::fs::read_to_string(path) {
             Ok(text) => Operator::parse(path, &text),
-            Err(e) if e.kind() == std::io::ErrorKind::NotFound && !named => {
-                Ok(Operator { every: EVERY, ..Operator::default() })
+            Err(e) if e.kind() == std::io::ErrorKind::NotFound && !required => {
+                Ok(Operator { account_interval: DEFAULT_ACCOUNT_INTERVAL, ..Operator::default() })
             }
             Err(e) => {
-                let text = format!("cannot be read: {e}; name a file that can, or leave it out");
-                Err(Message { file: path.into(), line: 0, text })
+                let text = format!("cannot be read: {e}; give a readable file, or none");
+                Err(Diagnostic { file: path.into(), line: 0, text })
             }
         }
     }
 
-    /// Reads a text; `path` is for the messages.
-    pub fn parse(path: &Path, text: &str) -> Result<Operator, Message> {
-        let said = |line, text: String| Message { file: path.into(), line, text };
-        let wrong = |span: Option<Range<usize>>, what: String| {
-            said(span.map_or(0, |span| line_of(text, span.start)), what)
+    /// Parses a text; `path` is used in diagnostics only.
+    pub fn parse(path: &Path, text: &str) -> Result<Operator, Diagnostic> {
+        let at_line = |line, text: String| Diagnostic { file: path.into(), line, text };
+        let diagnostic = |span: Option<Range<usize>>, what: String| {
+            at_line(span.map_or(0, |span| line_number(text, span.start)), what)
         };
         let file: File = toml::from_str(text).map_err(|e| {
             let what = e.message().trim().replace('\n', " ");
-            wrong(e.span(), mend(&what))
+            diagnostic(e.span(), add_hint(&what))
         })?;
         let mut contracts = Vec::new();
         for team in &file.team {
             let team = team.get_ref();
-            let contract =
-                team.contract().map_err(|(key, what)| wrong(team.place(key), format!("{key} {what}")))?;
+            let contract = team
+                .contract()
+                .map_err(|(key, what)| diagnostic(team.key_span(key), format!("{key} {what}")))?;
             contracts.push(contract);
         }
         let terms = Terms {
@@ -270,64 +274,69 @@
             reclaim_rate: file.reclaim.rate.as_ref().map(|r| *r.get_ref()),
         };
         contract::validate(&terms).map_err(|TermsError { contract, key, text: what }| {
-            let place = match contract {
-                Some(i) => file.team[i].get_ref().place(key),
+            let span = match contract {
+                Some(i) => file.team[i].get_ref().key_span(key),
                 None => match key {
                     "connections" => file.capacity.connections.as_ref().map(Spanned::span),
                     "instances" => file.capacity.instances.as_ref().map(Spanned::span),
                     _ => file.reclaim.rate.as_ref().map(Spanned::span),
                 },
             };
-            wrong(place, format!("{key} {what}"))
+            diagnostic(span, format!("{key} {what}"))
         })?;
-        let every = file.account.every.as_ref();
-        if let Some(short) = every.filter(|e| e.get_ref().0 < LEAST_EVERY) {
-            return Err(wrong(Some(short.span()), "every must be \"1s\" or more".into()));
+        let interval = file.account.every.as_ref();
+        if let Some(short) = interval.filter(|e| e.get_ref().0 < MIN_ACCOUNT_INTERVAL) {
+            return Err(diagnostic(Some(short.span()), "every must be \"1s\" or more".into()));
         }
         let mut warnings = Vec::new();
         let sum: f64 = terms.contracts.iter().map(|c| c.connections).sum();
         if let Some(capacity) = file.capacity.connections.as_ref().filter(|c| sum > *c.get_ref()) {
             let what = format!(
-                "the contracts sum to {sum}, over the capacity of {}: when all teams come at once each gets its part in proportion",
+                "the contracts sum to {sum}, over the capacity of {}: when all teams use theirs at once, each contract is reduced in proportion",
                 capacity.get_ref()
             );
-            warnings.push(wrong(Some(capacity.span()), what));
+            warnings.push(diagnostic(Some(capacity.span()), what));
         }
         if terms.contracts.is_empty() && (terms.capacity.is_some() || terms.reclaim_rate.is_some()) {
-            return Err(wrong(
+            return Err(diagnostic(
                 file.capacity.connections.as_ref().map(Spanned::span),
-                "nothing is shared out without a contract: add a [[team]], or take this out".into(),
+                "capacity is shared only between contracts: add a [[team]], or remove this".into(),
             ));
         }
         let rebalance = match &file.rebalance {
-            Some(table) => table.get_ref().terms().map_err(|(at, what)| wrong(Some(at), what))?,
+            Some(table) => table.get_ref().settings().map_err(|(at, what)| diagnostic(Some(at), what))?,
             None => None,
         };
-        let print = xxhash_rust::xxh64::xxh64(text.as_bytes(), 0) as u32;
+        let fingerprint = xxhash_rust::xxh64::xxh64(text.as_bytes(), 0) as u32;
         let group = file
             .group
-            .map(|table| table.into_inner().settings(print, every.map_or(EVERY, |e| e.get_ref().0)))
+            .map(|table| {
+                table
+                    .into_inner()
+                    .into_settings(fingerprint, interval.map_or(DEFAULT_ACCOUNT_INTERVAL, |e| e.get_ref().0))
+            })
             .transpose();
-        let mut group = group.map_err(|(at, what)| wrong(Some(at), what))?;
+        let mut group = group.map_err(|(at, what)| diagnostic(Some(at), what))?;
         let mut failover = None;
         if let Some(table) = file.failover {
             let at = table.span();
-            failover = Some(table.into_inner().terms().map_err(|(at, what)| wrong(Some(at), what))?);
+            failover =
+                Some(table.into_inner().into_settings().map_err(|(at, what)| diagnostic(Some(at), what))?);
             match &mut group {
                 Some(group) => group.tasks.push(crate::failover::TASK.into()),
                 None => {
                     let what =
-                        "a plan for zones is made by a [group]: add one (docs/group.md), or take this out";
-                    return Err(wrong(Some(at), what.into()));
+                        "the plan for zones needs a [group] to make it: add one (docs/group.md), or remove this";
+                    return Err(diagnostic(Some(at), what.into()));
                 }
             }
         }
         if let Some(xmpp) = &file.xmpp {
-            xmpp.get_ref().check().map_err(|what| wrong(Some(xmpp.span()), what))?;
+            xmpp.get_ref().check().map_err(|what| diagnostic(Some(xmpp.span()), what))?;
         }
         Ok(Operator {
             terms: (!terms.contracts.is_empty()).then_some(terms),
-            every: every.map_or(EVERY, |e| e.get_ref().0),
+            account_interval: interval.map_or(DEFAULT_ACCOUNT_INTERVAL, |e| e.get_ref().0),
             rebalance,
             group,
             failover,
@@ -336,12 +345,12 @@
         })
     }
 
-    /// Whether the settings have the classes that the contracts name; the first that they do not.
+    /// Returns an error for the first class that the contracts or rebalancing name and the settings do not have.
     pub fn unknown_class(&self, known: impl Fn(&str) -> bool) -> Option<String> {
         let contracts = self.terms.iter().flat_map(|t| &t.contracts);
         let named = contracts.flat_map(|c| c.classes.iter().flatten().map(move |class| (&c.team, class)));
-        let never = self.rebalance.iter().flat_map(|r| &r.excluded_classes).find(|class| !known(class));
-        if let Some(class) = never {
+        let excluded = self.rebalance.iter().flat_map(|r| &r.excluded_classes).find(|class| !known(class));
+        if let Some(class) = excluded {
             return Some(format!("rebalance.never names the class {class:?}, which the settings do not have: correct one of them"));
         }
         let (team, class) = named.into_iter().find(|(_, class)| !known(class))?;
@@ -351,14 +360,14 @@
     }
 }
 
-/// A parser's message with what to do about it.
-fn mend(what: &str) -> String {
+/// Returns a parser's message with a hint how to correct the file.
+fn add_hint(what: &str) -> String {
     let hint = match what {
-        w if w.contains("unknown field") => "; correct the key, or take the line out",
+        w if w.contains("unknown field") => "; correct the key, or remove the line",
         w if w.contains("missing field") => "; add it",
         w if w.contains("duplicate key") => "; keep one of the two",
         w if w.contains("invalid type") => "; write it as docs/contracts.md shows",
-        w if w.contains("needs a unit") || w.contains("no span") => "",
+        w if w.contains("needs a unit") || w.contains("is not a duration") => "",
         _ => "; see docs/contracts.md for the form",
     };
     format!("{what}{hint}")
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -1,5 +1,5 @@
-//! `oakdeal serve`: the balancer from its start to its end. What lives here is the order of things: what is read
-//! first, what a signal changes, when clients are asked to leave.
+//! `oakdeal serve`: runs the balancer from start to exit. Defines the order of startup, what SIGHUP and SIGTERM do, and when
+//! clients are asked to move during a shutdown.
 
 mod upgrade;
 
@@ -24,46 +24,49 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Descriptors that are kept for other things than connections: the listeners, discovery, the runtime's own,
-/// and connections of the lobby that are about to end.
-const RESERVED: usize = 32 + admin::SEATS;
-/// Of the rest, this part are seats of the lobby, so that those who ask nothing never take from those who do.
-const LOBBY: usize = 5;
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, taken for this where it is longer, and some
-/// tenths of a second more.
-const LONGEST_END: u64 = 3_000_000;
-/// From when on in that time clients are asked to come again, in tenths: in a rolling restart the balancer before
-/// this one needs seconds to be let in again, and until then a client that was sent away has nowhere to go.
-const FROM: u64 = 6;
-/// Who has not left by the end is waited for so long more.
-const OVERTIME: u64 = 2_000_000;
-/// For so long after SIGTERM new connections keep coming, whoever is there to take them.
-const COMING: u64 = 600_000;
-/// At the end resting connections get an answer and a soft close, and whoever asked in that moment a word: so long it may take.
-/// SIGKILL comes 0.7 s after the end at the soonest.
-const PARTING: u64 = 300_000;
-/// A start beside an older process waits so long for discovery's word; the platform waits six seconds.
-const UNTOLD: u64 = 2_000_000;
+/// Number of descriptors reserved for the listeners, discovery, the runtime and idle connections that are being closed.
+const RESERVED_DESCRIPTORS: usize = 32 + admin::SEATS;
+/// One in this many of the remaining descriptors is a slot for idle connections, so that clients without a request never take
+/// descriptors from clients with one.
+const DESCRIPTORS_PER_IDLE_SLOT: usize = 5;
+/// Maximum time from SIGTERM to the planned end, in microseconds. SIGKILL follows SIGTERM some tenths of a second after the
+/// longest deadline at the earliest, where a longer deadline counts as this value.
+const MAX_SHUTDOWN_SPAN: u64 = 3_000_000;
+/// Time from SIGTERM until clients are asked to move, in tenths of the shutdown span. In a rolling restart the balancer that
+/// was restarted before this one needs seconds until it receives clients again; a client that is moved earlier has nowhere to go.
+const MOVE_START_TENTHS: u64 = 6;
+/// Time for which the process waits for remaining connections after the planned end, in microseconds.
+const EXIT_GRACE: u64 = 2_000_000;
+/// Time after SIGTERM during which new connections still arrive, in microseconds, whether or not a newer process accepts them.
+const NEW_CONNECTIONS_AFTER_SIGTERM: u64 = 600_000;
+/// Time for final answers and the orderly close of idle connections at the planned end, in microseconds. SIGKILL follows 0.7 s
+/// after the planned end at the earliest.
+const FINAL_ANSWERS_SPAN: u64 = 300_000;
+/// Interval between two checks during shutdown whether the process may exit, in microseconds.
+const EXIT_POLL_INTERVAL: u64 = 20_000;
+/// Maximum wait for discovery's first answer where an older process serves meanwhile or an agent pushes the list, in
+/// microseconds; the platform waits six seconds.
+const FIRST_LIST_TIMEOUT_WITH_FALLBACK: u64 = 2_000_000;
 
-/// Longest wait for discovery's first answer where no other process serves meanwhile: a call that is spread over the fleet and
-/// queued has been answered or has failed by then.
-pub const FIRST_LIST: u64 = 6_000_000;
+/// Maximum wait for discovery's first answer where no other process serves meanwhile, in microseconds: a call that is spread
+/// over the fleet and queued has been answered or has failed by then.
+pub const FIRST_LIST_TIMEOUT: u64 = 6_000_000;
 
-/// What the program is told at its start.
+/// The files that the program is configured with.
 #[derive(Clone, Debug)]
 pub struct Sources {
-    /// The platform's configuration.
+    /// Path of the platform's configuration.
     pub config: PathBuf,
-    /// The operator's file.
+    /// Path of the operator's file.
     pub operator: PathBuf,
-    /// Whether somebody named it: then it must exist.
-    pub named: bool,
+    /// Whether the operator's file was given explicitly and therefore must exist.
+    pub operator_required: bool,
 }
 
 impl Sources {
-    /// Reads the operator's file against the settings' classes.
+    /// Reads the operator's file and checks its class names against the configuration.
     fn operator(&self, config: &Config) -> Result<Operator, String> {
-        let operator = Operator::read(&self.operator, self.named).map_err(|e| e.to_string())?;
+        let operator = Operator::read(&self.operator, self.operator_required).map_err(|e| e.to_string())?;
         let classes = config.settings.classes.as_deref().unwrap_or_default();
         let known = |class: &str| classes.iter().any(|c| c.name.as_deref() == Some(class));
         match operator.unknown_class(known) {
@@ -73,14 +76,14 @@
     }
 }
 
-/// Serves until the program is told to end.
+/// Serves until SIGTERM.
 pub async fn run(sources: Sources) -> Result<(), String> {
-    // Taken from the first moment on: without a handler SIGHUP ends the process.
-    let taken = |kind| signal(kind).map_err(|e| format!("cannot take signals: {e}"));
-    let (mut term, mut hang_up) = (taken(SignalKind::terminate())?, taken(SignalKind::hangup())?);
+    // Installed first: without a handler SIGHUP terminates the process.
+    let handler = |kind| signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"));
+    let (mut sigterm, mut sighup) = (handler(SignalKind::terminate())?, handler(SignalKind::hangup())?);
     let (mut config, text) = Config::read(&sources.config)?;
     let operator = sources.operator(&config)?;
-    tracing::debug!("told at the start: {text}");
+    tracing::debug!("configuration at the start: {text}");
     operator.warnings.iter().for_each(|w| tracing::warn!("{w}"));
     let (settings, names) = config.settings.translate().map_err(|e| e.to_string())?;
     let (peers, must_ask_in_us) = (settings.peers_total, settings.max_poll_interval);
@@ -89,37 +92,37 @@
     let admin = config
         .admin(std::env::var("LB_ADMIN").ok())
         .map_err(|e| sources.config.display().to_string() + ": " + &e)?;
-    let descriptors = config.limits.sockets.saturating_sub(RESERVED);
-    let seats = descriptors / LOBBY;
+    let descriptors = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS);
+    let idle_slots = descriptors / DESCRIPTORS_PER_IDLE_SLOT;
     let worths: Vec<f64> = settings.classes.iter().map(|c| c.worth).collect();
-    let zoned = settings.clone();
-    let (broker, ordered) =
-        Broker::new(settings, names, seed, descriptors - seats).map_err(|e| e.to_string())?;
-    let accounted = operator.terms.is_some();
-    let (mut plans, started) = (None, unix_ms());
+    let zone_settings = settings.clone();
+    let (broker, network_orders) =
+        Broker::new(settings, names, seed, descriptors - idle_slots).map_err(|e| e.to_string())?;
+    let has_contracts = operator.terms.is_some();
+    let (mut zone_plans, started) = (None, unix_ms());
     if let Some(terms) = operator.failover {
-        if zoned.peers_total > crate::placement::SMALL_FLEET_NODES {
-            // Measured in simulated time: docs/failover.md.
-            tracing::warn!("[failover] is not for so many balancers yet: groups are cut by zone, and cold servers may be filled too fast");
+        if zone_settings.peers_total > crate::placement::SMALL_FLEET_NODES {
+            // Simulations show these effects: docs/failover.md.
+            tracing::warn!("[failover] is not suited to so many balancers yet: groups are split by zone, and cold servers may be filled too fast");
         }
-        plans = Some((terms.clone(), worthiest(broker.names().classes(), &worths)));
-        broker.zones(terms, place_of(&config, started, &broker, &zoned)?);
+        zone_plans = Some((terms.clone(), classes_by_worth(broker.names().classes(), &worths)));
+        broker.zones(terms, balancer_context(&config, started, &broker, &zone_settings)?);
     }
     broker.contract(operator.terms);
     broker.rebalance(operator.rebalance);
     let mut group = None;
     if let Some(mut settings) = operator.group {
-        // Where there are no contracts there is no account.
-        settings.tasks.retain(|task| task != ACCOUNT_TASK || accounted);
+        // Without contracts there is no account to write.
+        settings.tasks.retain(|task| task != ACCOUNT_TASK || has_contracts);
         let (mut task, board) = Group::start(settings, &config.name, started, seed).await?;
-        if let Some((terms, classes)) = plans {
+        if let Some((terms, classes)) = zone_plans {
             task.enable_zone_plans(&terms, broker.names().zones(), classes);
         }
         spawn_local(task.run(broker.clone()));
         group = Some(board);
     }
-    let lobby = Lobby::new(broker.clone(), seats);
-    let parting = lobby.clone();
+    let idle = Lobby::new(broker.clone(), idle_slots);
+    let idle_at_exit = idle.clone();
     let listener = match std::env::var("LB_FD") {
         Ok(descriptor) if !descriptor.is_empty() => {
             Reserved::Inherited(Listener::inherited(&descriptor, config.listen)?)
@@ -127,12 +130,12 @@
         _ => Reserved::bind(config.listen)?,
     };
     let shared = listener.shared();
-    let place = upgrade::place().filter(|_| shared);
-    place.iter().for_each(|place| upgrade::clear(place));
+    let handover_path = upgrade::handover_path().filter(|_| shared);
+    handover_path.iter().for_each(|path| upgrade::remove_stale(path));
 
     let sweeper = broker.clone();
     spawn_local(async move { sweeper.sweep().await });
-    spawn_local(net::orders(broker.clone(), ordered, config.discovery));
+    spawn_local(net::orders(broker.clone(), network_orders, config.discovery));
     if let Some(known) = config.known.take() {
         broker.listed(ListKind::Cached, known);
     } else {
@@ -142,82 +145,93 @@
     spawn_local(async move { keeper.keep_contracts().await });
     let keeper = broker.clone();
     spawn_local(async move { keeper.keep_drain().await });
-    let guests = lobby.clone();
+    let platform_idle = idle.clone();
     let connections = Connections::default();
-    let serve = move |stream, from| net::platform::serve(guests.clone(), stream, from);
+    let serve = move |stream, from| net::platform::serve(platform_idle.clone(), stream, from);
     let xmpp = match operator.xmpp {
         Some(file) => {
-            let address = file.listen.ok_or("the XMPP front has no address")?;
+            let address = file.listen.ok_or("the XMPP listener has no address")?;
             let front = Rc::new(Front::new(broker.clone(), file)?);
-            let serve = move |stream, from| net::xmpp::serve(front.clone(), lobby.clone(), stream, from);
+            let serve = move |stream, from| net::xmpp::serve(front.clone(), idle.clone(), stream, from);
             Some((Reserved::bind(address)?, serve))
         }
         None => None,
     };
 
-    // Polled by the program's main future, so before all connections in each turn of the loop.
-    let door = LocalSet::new();
+    // Polled by the program's main future, so before all connections in each iteration of the event loop.
+    let admin_tasks = LocalSet::new();
     if let Some(address) = admin {
         let listener = Listener::bind(address);
         let listener = listener.map_err(|e| format!("admin: {e}; give an address that is free"))?;
         let at = listener.at()?;
-        let lobby = Lobby::new(broker.clone(), admin::SEATS);
-        let inside = Door::new(Operations::new(broker.clone()), group.clone(), lobby);
-        let serve = move |stream, from| admin::serve(inside.clone(), stream, from);
-        door.spawn_local(net::accept(broker.clone(), listener, Connections::default(), "operators", serve));
+        let admin_idle = Lobby::new(broker.clone(), admin::SEATS);
+        let endpoint = Door::new(Operations::new(broker.clone()), group.clone(), admin_idle);
+        let serve = move |stream, from| admin::serve(endpoint.clone(), stream, from);
+        admin_tasks.spawn_local(net::accept(
+            broker.clone(),
+            listener,
+            Connections::default(),
+            "operators",
+            serve,
+        ));
         tracing::info!("{} answers operators on {at}", config.name);
     }
 
-    let (host, name, left) = (broker.clone(), config.name.clone(), place.clone());
-    let counted = connections.clone();
+    let (client_broker, name, import_path) = (broker.clone(), config.name.clone(), handover_path.clone());
+    let counter = connections.clone();
     let clients = async move {
-        first_list(&host, shared).await;
-        if host.leaving() && !shared {
+        wait_for_first_list(&client_broker, shared).await;
+        if client_broker.leaving() && !shared {
             return Ok(());
         }
-        host.begin();
+        client_broker.begin();
         if let Some((reserved, serve)) = xmpp {
             let listener = reserved.listen()?;
             tracing::info!("{name} serves XMPP on {}", listener.at()?);
-            spawn_local(net::accept(host.clone(), listener, counted.clone(), "xmpp clients", serve));
+            spawn_local(net::accept(client_broker.clone(), listener, counter.clone(), "xmpp clients", serve));
         }
         let listener = listener.listen()?;
         tracing::info!("{name} serves {}", listener.at()?);
-        if let Some(place) = left {
-            spawn_local(upgrade::take_up(host.clone(), place, name));
+        if let Some(path) = import_path {
+            spawn_local(upgrade::import_handover(client_broker.clone(), path, name));
         }
-        spawn_local(net::accept(host, listener, counted, "clients", serve));
+        spawn_local(net::accept(client_broker, listener, counter, "clients", serve));
         Ok::<(), String>(())
     };
     let clients = spawn_local(clients);
 
-    let clerk = Clerk { broker: broker.clone(), balancer: config.name.clone(), started };
-    let every = std::cell::Cell::new(operator.every);
+    let account_writer = AccountWriter { broker: broker.clone(), balancer: config.name.clone(), started };
+    let account_interval = std::cell::Cell::new(operator.account_interval);
     let reloads = async {
-        while hang_up.recv().await.is_some() {
-            reload(&broker, &sources, &text, &every);
+        while sighup.recv().await.is_some() {
+            reload(&broker, &sources, &text, &account_interval);
         }
     };
     let accounts = async {
         loop {
-            broker.after(every.get()).await;
-            clerk.write();
+            broker.after(account_interval.get()).await;
+            account_writer.write();
         }
     };
-    let ends = async {
-        term.recv().await;
+    let termination = async {
+        sigterm.recv().await;
         group.iter().for_each(|group| group.send(OperatorCommand::LeaveGroup));
-        if let Some(place) = &place {
-            upgrade::leave(&broker, place, &config.name, broker.now() + span(&broker) + OVERTIME);
+        if let Some(path) = &handover_path {
+            upgrade::write_handover(
+                &broker,
+                path,
+                &config.name,
+                broker.now() + shutdown_span(&broker) + EXIT_GRACE,
+            );
         }
-        leave(&broker, &parting, &connections, shared).await;
-        clerk.write();
+        shut_down(&broker, &idle_at_exit, &connections, shared).await;
+        account_writer.write();
     };
-    let door = async {
-        door.await;
+    let admin_tasks = async {
+        admin_tasks.await;
         std::future::pending().await
     };
-    let cannot_listen = async {
+    let listen_error = async {
         match clients.await {
             Ok(Err(e)) => e,
             _ => std::future::pending().await,
@@ -225,9 +239,9 @@
     };
     tokio::select! {
         biased;
-        () = door => {}
-        () = ends => {}
-        e = cannot_listen => return Err(e),
+        () = admin_tasks => {}
+        () = termination => {}
+        e = listen_error => return Err(e),
         // They end only with the runtime.
         () = reloads => {}
         () = accounts => {}
@@ -235,33 +249,33 @@
     Ok(())
 }
 
-/// Waits until the list of servers may be served from. The one that came with the configuration may be old, and what has changed
-/// since counts as notified soon after, whether or not it was asked for: so discovery is heard first, unless it cannot be reached.
-async fn first_list(broker: &Broker, shared: bool) {
-    // An older process serves meanwhile, or an agent has the list: a failed call is not the last word.
-    let patient = shared || broker.pushed();
-    let longest = if patient { UNTOLD } else { FIRST_LIST };
+/// Waits until the list of servers may be used. The list in the configuration may be outdated, and changes since then count as
+/// notified soon after the start, whether or not they were requested: so discovery is awaited first, unless it is unreachable.
+async fn wait_for_first_list(broker: &Broker, shared: bool) {
+    // An older process serves meanwhile, or an agent has the list: a failed call is not final.
+    let has_fallback = shared || broker.pushed();
+    let timeout = if has_fallback { FIRST_LIST_TIMEOUT_WITH_FALLBACK } else { FIRST_LIST_TIMEOUT };
     let mut state = broker.list_state();
-    let enough = |state: &ListState| match state {
+    let is_usable = |state: &ListState| match state {
         ListState::Given => false,
         ListState::Confirmed => true,
-        ListState::Unreachable => !patient,
+        ListState::Unreachable => !has_fallback,
     };
     tokio::select! {
-        _ = state.wait_for(enough) => {}
-        () = broker.after(longest) => tracing::warn!("discovery has told nothing yet: serving by the list given"),
+        _ = state.wait_for(is_usable) => {}
+        () = broker.after(timeout) => tracing::warn!("discovery has not answered yet: serving with the configured list"),
     }
 }
 
-/// The classes' names, the worthiest first.
-pub fn worthiest(names: &[String], worths: &[f64]) -> Vec<String> {
-    let mut all: Vec<(&f64, &String)> = worths.iter().zip(names).collect();
-    all.sort_by(|a, b| b.0.total_cmp(a.0));
-    all.into_iter().map(|(_, name)| name.clone()).collect()
+/// Returns the names of the classes, in descending order of worth.
+pub fn classes_by_worth(names: &[String], worths: &[f64]) -> Vec<String> {
+    let mut classes: Vec<(&f64, &String)> = worths.iter().zip(names).collect();
+    classes.sort_by(|a, b| b.0.total_cmp(a.0));
+    classes.into_iter().map(|(_, name)| name.clone()).collect()
 }
 
-/// Where this balancer is, for a plan of zones.
-fn place_of(
+/// Returns what the zone router needs to know about this balancer.
+fn balancer_context(
     config: &Config,
     started: u64,
     broker: &Broker,
@@ -270,7 +284,7 @@
     let zones = broker.names().zones().to_vec();
     let zone = settings.zone.and_then(|zone| zones.get(zone)).cloned();
     let zone =
-        zone.ok_or("[failover]: the platform names no zone of this balancer (MyZone): take the section out")?;
+        zone.ok_or("[failover]: the platform gives no zone for this balancer (MyZone): remove the section")?;
     Ok(BalancerContext {
         name: config.name.clone(),
         started,
@@ -287,14 +301,14 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Writes the teams' accounts to the log, one record a team; all counts are from the start of the program on.
-struct Clerk {
+/// Writes the teams' accounts to the log, one record per team; all counts start with the program.
+struct AccountWriter {
     broker: Rc<Broker>,
     balancer: String,
     started: u64,
 }
 
-impl Clerk {
+impl AccountWriter {
     fn write(&self) {
         let now = self.broker.now();
         let rows = self.broker.contracts(|contracts| contracts.account_rows(now)).unwrap_or_default();
@@ -302,17 +316,17 @@
     }
 }
 
-/// Reads both files again. A bad one leaves all that was in force; of a good configuration a running balancer
-/// takes over where discovery is, and of a good operator's file the contracts.
-fn reload(broker: &Broker, sources: &Sources, begun: &str, every: &std::cell::Cell<u64>) {
+/// Reads both files again. An invalid file changes nothing. From a valid configuration a running balancer applies the address
+/// of discovery; from a valid operator's file the contracts, rebalancing and the interval of the account.
+fn reload(broker: &Broker, sources: &Sources, startup_text: &str, account_interval: &std::cell::Cell<u64>) {
     let read = Config::read(&sources.config).and_then(|(config, text)| {
         let (settings, _) = config.settings.translate().map_err(|e| e.to_string())?;
         settings.validate().map_err(|e| e.to_string())?;
         Ok((config, text))
     });
     match read {
-        Ok((config, now)) => {
-            let ignored = match &Config::ignored(begun, &now)[..] {
+        Ok((config, text)) => {
+            let ignored = match &Config::ignored(startup_text, &text)[..] {
                 [] => String::new(),
                 names => format!("; ignored until the next start: {}", names.join(", ")),
             };
@@ -320,71 +334,73 @@
             tracing::info!("configuration read again: discovery is at {discovery}{ignored}");
             broker.discovery_at(discovery);
         }
-        Err(e) => tracing::error!("configuration not taken over, the old one stays in force: {e}"),
+        Err(e) => tracing::error!("configuration rejected, the previous one stays in force: {e}"),
     }
-    // Against the configuration that is in force: its classes do not change while the program runs.
-    let began = serde_json::from_str::<Config>(begun).map_err(|e| e.to_string());
-    match began.and_then(|config| sources.operator(&config)) {
+    // Checked against the configuration of the start: its classes do not change while the program runs.
+    let startup_config = serde_json::from_str::<Config>(startup_text).map_err(|e| e.to_string());
+    match startup_config.and_then(|config| sources.operator(&config)) {
         Ok(operator) => {
             operator.warnings.iter().for_each(|w| tracing::warn!("{w}"));
-            every.set(operator.every);
+            account_interval.set(operator.account_interval);
             broker.rebalance(operator.rebalance);
             let changes = broker.contract(operator.terms);
             for c in &changes {
                 let (team, key, before, after) = (&c.team, c.key, &c.before, &c.after);
                 tracing::info!(team, key, before, after, "contract changed");
             }
-            tracing::info!("operator's file read again: {} changes in force", changes.len());
+            tracing::info!("operator's file read again: {} contract changes applied", changes.len());
         }
-        Err(e) => tracing::error!("operator's file not taken over, the old one stays in force: {e}"),
+        Err(e) => tracing::error!("operator's file rejected, the previous one stays in force: {e}"),
     }
 }
 
-/// The time in which all that stands is asked to move once the program is to end.
-fn span(broker: &Broker) -> u64 {
-    broker.longest().clamp(COMING, LONGEST_END)
+/// Returns the time from SIGTERM to the planned end, in microseconds.
+fn shutdown_span(broker: &Broker) -> u64 {
+    broker.longest().clamp(NEW_CONNECTIONS_AFTER_SIGTERM, MAX_SHUTDOWN_SPAN)
 }
 
-/// The program is to end: it goes on answering, and asks every client to come again, in time before it may
-/// be killed. It ends when that time has come and nothing is left.
+/// Shuts down after SIGTERM: goes on answering, and asks every client to reconnect before the process may be killed. Returns
+/// after the planned end, when no connection is left.
 ///
-/// Where it shares its socket with a process that comes after it there is somebody to come back to at once, and it
-/// ends when its last connection has.
-async fn leave(broker: &Rc<Broker>, lobby: &Lobby, connections: &Connections, shared: bool) {
-    let (begun, span) = (broker.now(), span(broker));
-    let (from, end) = (if shared { begun } else { begun + span * FROM / 10 }, begun + span);
-    tracing::info!("leaving: {} connections are asked to come again", broker.in_hand());
+/// If a newer process serves the same socket, clients can reconnect at once: they are asked from the beginning, and the
+/// shutdown ends with the last connection.
+async fn shut_down(broker: &Rc<Broker>, idle: &Lobby, connections: &Connections, shared: bool) {
+    let (begun, span) = (broker.now(), shutdown_span(broker));
+    let (from, end) = (if shared { begun } else { begun + span * MOVE_START_TENTHS / 10 }, begun + span);
+    tracing::info!("leaving: {} connections are asked to reconnect", broker.in_hand());
     broker.leave(from, end);
-    let mut parts = None;
+    let mut final_answers_since = None;
     loop {
         let now = broker.now();
-        if shared && connections.open() == 0 && now >= begun + COMING {
+        if shared && connections.open() == 0 && now >= begun + NEW_CONNECTIONS_AFTER_SIGTERM {
             break;
         }
         if now >= end {
-            // Nobody is left without an answer: who rests here may be asking in this very moment.
-            lobby.clear();
-            let parted = connections.open() == 0 || now >= *parts.get_or_insert(now) + PARTING;
-            if parted && broker.in_hand() == 0 || now >= end + OVERTIME {
+            // Idle connections get a final answer before the close: their clients may be sending a request at this moment.
+            idle.clear();
+            let closed = connections.open() == 0
+                || now >= *final_answers_since.get_or_insert(now) + FINAL_ANSWERS_SPAN;
+            if closed && broker.in_hand() == 0 || now >= end + EXIT_GRACE {
                 break;
             }
         }
-        broker.after(20_000).await;
+        broker.after(EXIT_POLL_INTERVAL).await;
     }
     tracing::info!("left with {} connections in hand", broker.in_hand());
 }
 
-/// A plain word on files that earlier versions read, so that nobody's contracts vanish silently.
-pub fn forgotten(here: &Path) -> Result<(), String> {
-    let old = [("OAKDEAL_XMPP", "xmpp.toml", "[xmpp]"), ("OAKDEAL_SERVICES", "services.toml", "[[team]]")];
-    for (variable, file, section) in old {
+/// Returns an error if a file or variable of earlier versions is present, so that its contracts are not ignored silently.
+pub fn reject_obsolete_files(directory: &Path) -> Result<(), String> {
+    let obsolete =
+        [("OAKDEAL_XMPP", "xmpp.toml", "[xmpp]"), ("OAKDEAL_SERVICES", "services.toml", "[[team]]")];
+    for (variable, file, section) in obsolete {
         if std::env::var_os(variable).is_some() {
-            let text = "is not read any more: name the operator's file in OAKDEAL_OPERATOR and write its";
+            let text = "is no longer read: name the operator's file in OAKDEAL_OPERATOR and write its";
             return Err(format!("{variable} {text} {section} section (docs/contracts.md)"));
         }
-        let path = here.join("deploy").join(file);
+        let path = directory.join("deploy").join(file);
         if path.exists() {
-            let text = "is not read any more: take it over into the section";
+            let text = "is no longer read: move its settings into the section";
             return Err(format!(
                 "{} {text} {section} of deploy/oakdeal.toml (docs/contracts.md)",
                 path.display()
--- a/src/serve/upgrade.rs
+++ b/src/serve/upgrade.rs
@@ -1,75 +1,77 @@
-//! Two processes of one balancer side by side: what the one that ends leaves for the other in `$TMPDIR`.
+//! Hands the established connections of a process that shuts down to its successor, through a file in `$TMPDIR`.
 
+use crate::api::Micros;
 use crate::broker::handover::{Handover, MOST};
 use crate::broker::Broker;
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Its name there.
-const NAME: &str = "oakdeal-handover";
-/// How often the new process looks for it, and for how long after its yes.
-const LOOK: u64 = 20_000;
-const LOOKS: u64 = 10_000_000;
+/// Name of the handover file.
+const FILE_NAME: &str = "oakdeal-handover";
+/// Interval at which the new process looks for the handover file.
+const POLL_INTERVAL: Micros = 20_000;
+/// Time for which the new process looks for the handover file after it has begun to serve.
+const POLL_SPAN: Micros = 10_000_000;
 
-/// The place where it is left; none where the platform gives no folder.
-pub fn place() -> Option<PathBuf> {
-    std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty()).map(|dir| Path::new(&dir).join(NAME))
+/// Returns the path of the handover file; `None` if the platform sets no `TMPDIR`.
+pub fn handover_path() -> Option<PathBuf> {
+    std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty()).map(|dir| Path::new(&dir).join(FILE_NAME))
 }
 
-/// What lies there at a start was meant for another process.
-pub fn clear(place: &Path) {
-    match std::fs::remove_file(place) {
-        Ok(()) => tracing::warn!("{} was left over from before: removed", place.display()),
+/// Removes a handover file that exists at the start: it was meant for an earlier process.
+pub fn remove_stale(path: &Path) {
+    match std::fs::remove_file(path) {
+        Ok(()) => tracing::warn!("{}: removed the handover of an earlier process", path.display()),
         Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-        Err(e) => tracing::warn!("{} cannot be removed: {e}", place.display()),
+        Err(e) => tracing::warn!("{} cannot be removed: {e}", path.display()),
     }
 }
 
-/// Leaves what stands, whole or not at all; `until` is when this process ends at the latest.
-pub fn leave(broker: &Broker, place: &Path, balancer: &str, until: u64) {
+/// Writes the established connections to the handover file, atomically. `until` is when this process ends at the latest.
+pub fn write_handover(broker: &Broker, path: &Path, balancer: &str, until: Micros) {
     let handover = Handover { balancer: balancer.into(), at: broker.now(), until, stands: broker.stands() };
-    let half = place.with_extension(std::process::id().to_string());
-    let written = std::fs::File::create(&half)
+    let partial = path.with_extension(std::process::id().to_string());
+    let written = std::fs::File::create(&partial)
         .and_then(|mut file| file.write_all(&handover.encode()))
-        .and_then(|()| std::fs::rename(&half, place));
+        .and_then(|()| std::fs::rename(&partial, path));
     match written {
         Ok(()) => tracing::info!("handed over {} connections", handover.stands.len()),
         Err(e) => {
-            tracing::warn!("{} cannot be written: {e}; nothing is handed over", place.display());
-            let _ = std::fs::remove_file(&half);
+            tracing::warn!("{} cannot be written: {e}; nothing is handed over", path.display());
+            let _ = std::fs::remove_file(&partial);
         }
     }
 }
 
-/// Looks for what the process before this one leaves, and has it booked until that process has ended.
-pub async fn take_up(broker: Rc<Broker>, place: PathBuf, balancer: String) {
-    let end = broker.now() + LOOKS;
-    // What lies there once this process leaves too is its own.
+/// Waits for the handover of the previous process and counts its connections until that process has ended.
+pub async fn import_handover(broker: Rc<Broker>, path: PathBuf, balancer: String) {
+    let end = broker.now() + POLL_SPAN;
+    // Once this process shuts down too, a file at this path is its own.
     while broker.now() < end && !broker.leaving() {
-        if let Some(bytes) = read(&place) {
+        if let Some(bytes) = take_file(&path) {
             match Handover::decode(&bytes, &balancer, broker.now()) {
                 Ok(handover) => {
                     tracing::info!(
-                        "{} connections stand at the process before this one",
+                        "{} connections are established at the previous process",
                         handover.stands.len()
                     );
                     broker.inherit(handover.stands);
                     broker.until(handover.until.min(end)).await;
                     return broker.alone();
                 }
-                Err(why) => tracing::warn!("{} {why}: ignored", place.display()),
+                Err(reason) => tracing::warn!("{} {reason}: ignored", path.display()),
             }
         }
-        broker.after(LOOK).await;
+        broker.after(POLL_INTERVAL).await;
     }
 }
 
-/// What lies there, taken away; none where there is nothing, or more than a handover can be.
-fn read(place: &Path) -> Option<Vec<u8>> {
+/// Reads and removes the handover file, up to one byte more than a valid handover has; `None` if it cannot be read.
+fn take_file(path: &Path) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
-    let file = std::fs::File::open(place).ok()?;
-    let _ = std::fs::remove_file(place);
+    let file = std::fs::File::open(path).ok()?;
+    let _ = std::fs::remove_file(path);
     file.take(MOST as u64 + 1).read_to_end(&mut bytes).ok()?;
     Some(bytes)
 }
--- a/tests/lines.rs
+++ b/tests/lines.rs
@@ -233,7 +233,7 @@
     let mut stands = balancer.client();
     assert_eq!(stands.say("OPEN 1 2 c=watch,d=2000\r\n").hear(), "UP 1");
     balancer.reload(|text| text.replace("\"discovery\"", "\"no discovery\""));
-    balancer.logged("configuration not taken over");
+    balancer.logged("configuration rejected, the previous one stays in force");
     let there = new.address.to_string();
     balancer.reload(|text| {
         let text = text.replace("\"no discovery\"", "\"discovery\"").replace("\"n0\"", "\"n9\"");
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -107,7 +107,7 @@
     assert_eq!((seen["east"].moved, seen["east"].busy), (0, 0), "{seen:?}");
     let change = balancer.logged("contract changed");
     assert!(change.contains("north") && change.contains("40") && change.contains("10"), "{change}");
-    let refused = balancer.logged("operator's file not taken over, the old one stays in force");
+    let refused = balancer.logged("operator's file rejected, the previous one stays in force");
     assert!(refused.contains("oakdeal.toml:3:") && refused.contains("`conections`"), "{refused}");
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -152,7 +152,7 @@
     let mut early = Lines::to(at);
     early.say("OPEN early 1 c=watch,d=9000\r\n");
     await_ready(&balancer);
-    balancer.logged("discovery has told nothing yet");
+    balancer.logged("discovery has not answered yet");
     assert_eq!(early.hear(), "UP 1");
 }
 
@@ -190,7 +190,7 @@
     await_ready(&new);
     old.terminate();
     old.logged("handed over 5 connections");
-    new.logged("5 connections stand at the process before this one");
+    new.logged("5 connections are established at the previous process");
     for client in &mut standing {
         assert_eq!(client.hear(), "MOVE");
     }
