--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -9,7 +9,7 @@
 use crate::scenario::Kind;
 use crate::score::record::{state_letter, AttemptOutcome, RunEvent};
 use oakdeal::broker::SILENCE_TIMEOUT;
-use oakdeal::serve::FIRST_LIST;
+use oakdeal::serve::FIRST_LIST_TIMEOUT;
 use oakdeal::{Event, HostState, ListKind, Micros, Outcome};
 use rand::RngExt;
 
@@ -322,7 +322,7 @@
         if matches!(choice, DeciderChoice::Own | DeciderChoice::Drill(_)) {
             self.nodes[node_id].waits_for_list = true;
             let epoch = self.nodes[node_id].epoch;
-            self.schedule(self.now + FIRST_LIST, SimEvent::AcceptsWithoutList(node_id, epoch));
+            self.schedule(self.now + FIRST_LIST_TIMEOUT, SimEvent::AcceptsWithoutList(node_id, epoch));
         }
         self.load_cached_list(node_id);
     }
