--- a/benches/flood.rs
+++ b/benches/flood.rs
@@ -30,11 +30,11 @@
     let operator = contracts(60, &[("north", 20, ""), ("east", 20, ""), ("south", 20, "")]);
     let life = Duration::from_millis(900);
     let run = |flood: usize| {
-        let balancer = Balancer::start(&Discovery::quiet(), &servers(), Some(&operator));
+        let balancer = Balancer::start(&Discovery::without_updates(), &servers(), Some(&operator));
         let quiet = |team| Habit { life, ..habit(team, 20) };
         let flood = Habit { life, patience: Duration::from_millis(100), ..habit("south", flood) };
         play(
-            balancer.lines,
+            balancer.line_address,
             &[(0, quiet("north")), (0, quiet("east")), (300, flood)],
             Duration::from_secs(10),
             |_, _| (),
@@ -72,25 +72,26 @@
 /// Has first lines refused, one after the other on eight connections at a time.
 fn refusals(program: &Path) -> f64 {
     let team = "[[team]]\nname = \"south\"\nconnections = 1\nborrow = false\n";
-    let start = Start { program, operator: Some(team), ..Start::default() };
-    let balancer = Balancer::launch(&Discovery::quiet(), &servers(), start).up();
-    let mut holder = balancer.client();
-    assert_eq!(holder.say("OPEN holder 1 c=watch,d=2000,t=south\r\n").hear(), "UP 1");
-    let begun = balancer.cpu();
-    let at = balancer.lines;
+    let start = StartOptions { program, operator: Some(team), ..StartOptions::default() };
+    let balancer = Balancer::launch(&Discovery::without_updates(), &servers(), start).wait_until_serving();
+    let mut holder = balancer.connect_client();
+    assert_eq!(holder.send_text("OPEN holder 1 c=watch,d=2000,t=south\r\n").receive_line(), "UP 1");
+    let begun = balancer.cpu_time();
+    let at = balancer.line_address;
     let threads: Vec<_> = (0..8)
         .map(|thread| {
             std::thread::spawn(move || {
                 for i in 0..REFUSED / 8 {
-                    let mut client = Lines::to(at);
-                    let answer =
-                        client.say(&format!("OPEN {thread}-{i} 1 c=watch,d=2000,t=south\r\n")).hear();
+                    let mut client = LineConnection::connect(at);
+                    let answer = client
+                        .send_text(&format!("OPEN {thread}-{i} 1 c=watch,d=2000,t=south\r\n"))
+                        .receive_line();
                     assert!(answer.starts_with("BUSY"), "{answer}");
                 }
             })
         })
         .collect();
     threads.into_iter().for_each(|thread| thread.join().unwrap());
-    let used = balancer.cpu() - begun;
+    let used = balancer.cpu_time() - begun;
     used.as_secs_f64() * 1e6 / REFUSED as f64
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -18,52 +18,64 @@
     let turned = Arc::new(Mutex::new(turned));
     let one = || {
         let (told, first, turned) = (told.clone(), first.clone(), turned.clone());
-        instance(move |mut peer| {
-            if !peer.hear().starts_with("OPEN") {
+        spawn_instance(move |mut peer| {
+            if !peer.receive_line().starts_with("OPEN") {
                 return;
             }
             if std::mem::take(&mut *first.lock().unwrap()) {
-                peer.say("BUSY 100\r\n");
+                peer.send_text("BUSY 100\r\n");
                 turned.lock().unwrap().recv().unwrap();
                 let _ = peer.stream.write_all(b"UP 1\r\nfrom another\r\n");
-                let _ = told.send(peer.hear());
+                let _ = told.send(peer.receive_line());
             } else {
-                peer.say("UP 1\r\n");
-                while !matches!(peer.hear().as_str(), "END" | "RESET") {
-                    peer.say("back\r\n");
+                peer.send_text("UP 1\r\n");
+                while !matches!(peer.receive_line().as_str(), "END" | "RESET") {
+                    peer.send_text("back\r\n");
                 }
             }
         })
     };
-    let list = [entry("s-00000001", one(), "ready"), entry("s-00000002", one(), "ready")];
-    let balancer = Balancer::with(&Discovery::quiet(), &list, None, &patient(), "text");
-    let mut client = balancer.client();
-    assert_eq!(client.say("OPEN 1 2 c=watch,d=5000\r\n").hear(), "UP 1");
+    let list = [list_entry("s-00000001", one(), "ready"), list_entry("s-00000002", one(), "ready")];
+    let balancer = Balancer::start_with(
+        &Discovery::without_updates(),
+        &list,
+        None,
+        &settings_with_long_connect_timeout(),
+        "text",
+    );
+    let mut client = balancer.connect_client();
+    assert_eq!(client.send_text("OPEN 1 2 c=watch,d=5000\r\n").receive_line(), "UP 1");
     turn.send(()).unwrap();
     let end = heard.recv().unwrap();
     assert!(matches!(end.as_str(), "END" | "RESET"), "its connection was closed: {end}");
-    assert_eq!(client.say("on\r\n").hear(), "back", "nothing came between");
+    assert_eq!(client.send_text("on\r\n").receive_line(), "back", "nothing came between");
 }
 
 /// Guards against a command that is sent though its client has been answered: its dial comes up in the turn in which its time is
 /// over.
 #[test]
 fn a_dial_that_comes_up_in_the_turn_in_which_it_is_given_up_brings_nothing() {
-    let shut = Shut::new();
-    let list = [entry("s-00000001", shut.address(), "ready")];
-    let mut balancer = Balancer::with(&Discovery::quiet(), &list, None, &patient(), "text");
-    let mut client = balancer.client();
-    client.say("OPEN 1 2 c=watch,d=600\r\n");
-    shut.dialled();
+    let shut = FullListener::new();
+    let list = [list_entry("s-00000001", shut.address(), "ready")];
+    let mut balancer = Balancer::start_with(
+        &Discovery::without_updates(),
+        &list,
+        None,
+        &settings_with_long_connect_timeout(),
+        "text",
+    );
+    let mut client = balancer.connect_client();
+    client.send_text("OPEN 1 2 c=watch,d=600\r\n");
+    shut.wait_for_dial();
     balancer.signal("-STOP");
-    let mut dialled = shut.open();
+    let mut dialled = shut.accept_pending();
     std::thread::sleep(Duration::from_millis(700));
     balancer.signal("-CONT");
-    let answer = client.hear();
+    let answer = client.receive_line();
     assert!(answer.starts_with("BUSY") || answer.starts_with("ERR"), "{answer}");
-    assert_eq!(client.hear(), "END", "one answer");
-    assert_eq!(dialled.rest(), "");
-    assert!(balancer.runs());
+    assert_eq!(client.receive_line(), "END", "one answer");
+    assert_eq!(dialled.receive_rest(), "");
+    assert!(balancer.is_running());
 }
 
 /// Guards against two final answers, none, or a connection that stands at an instance for nobody: the answer comes in the turn
@@ -71,30 +83,36 @@
 #[test]
 fn an_answer_in_the_turn_of_the_deadline_is_the_only_one() {
     let (told, heard) = channel();
-    let (address, say) = held(told);
-    let list = [entry("s-00000001", address, "ready")];
-    let mut balancer = Balancer::with(&Discovery::quiet(), &list, None, &patient(), "text");
+    let (address, say) = scripted_instance(told);
+    let list = [list_entry("s-00000001", address, "ready")];
+    let mut balancer = Balancer::start_with(
+        &Discovery::without_updates(),
+        &list,
+        None,
+        &settings_with_long_connect_timeout(),
+        "text",
+    );
     for (id, answer) in [("1", "UP 1\r\n"), ("2", "BUSY 50\r\n"), ("3", "ERR\r\n")] {
-        let mut client = balancer.client();
-        client.say(&format!("OPEN {id} 2 c=watch,d=600\r\n"));
+        let mut client = balancer.connect_client();
+        client.send_text(&format!("OPEN {id} 2 c=watch,d=600\r\n"));
         assert!(heard.recv().unwrap().starts_with(&format!("OPEN {id} ")));
         balancer.signal("-STOP");
         say.send(answer).unwrap();
         std::thread::sleep(Duration::from_millis(700));
         balancer.signal("-CONT");
-        let came = client.hear();
+        let came = client.receive_line();
         if came == "UP 1" {
-            assert_eq!(client.say("on\r\n").hear(), "on");
+            assert_eq!(client.send_text("on\r\n").receive_line(), "on");
             assert_eq!(heard.recv().unwrap(), "then on");
             drop(client);
         } else {
             assert!(came.starts_with("BUSY") || came.starts_with("ERR"), "{came}");
-            assert_eq!(client.hear(), "END", "one answer");
+            assert_eq!(client.receive_line(), "END", "one answer");
         }
         let end = heard.recv().unwrap();
         assert!(matches!(end.as_str(), "then END" | "then RESET"), "{answer:?} is left: {end}");
     }
-    assert!(balancer.runs());
+    assert!(balancer.is_running());
 }
 
 /// Guards against lines that were taken from an instance and are lost, or cut in two, because the program ends before its client
@@ -103,24 +121,24 @@
 fn what_was_taken_from_an_instance_is_written_whole_before_the_end() {
     const LINES: usize = 2_000;
     let (told, heard) = channel();
-    let many = instance(move |mut peer| {
-        peer.hear();
-        peer.say("UP 1\r\n");
+    let many = spawn_instance(move |mut peer| {
+        peer.receive_line();
+        peer.send_text("UP 1\r\n");
         for n in 0..LINES {
-            peer.say(&format!("{n} {}\r\n", "x".repeat(100)));
+            peer.send_text(&format!("{n} {}\r\n", "x".repeat(100)));
         }
         let _ = told.send(());
-        peer.rest();
+        peer.receive_rest();
     });
-    let list = [entry("s-00000001", many, "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let mut client = balancer.client();
-    client.say("OPEN 1 2 c=watch,d=2000\r\n");
+    let list = [list_entry("s-00000001", many, "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let mut client = balancer.connect_client();
+    client.send_text("OPEN 1 2 c=watch,d=2000\r\n");
     heard.recv().unwrap();
     balancer.terminate();
-    balancer.logged("leaving");
-    assert_eq!(client.hear(), "UP 1");
-    let mut lines: Vec<String> = client.rest().lines().map(String::from).collect();
+    balancer.wait_for_log("leaving");
+    assert_eq!(client.receive_line(), "UP 1");
+    let mut lines: Vec<String> = client.receive_rest().lines().map(String::from).collect();
     assert_eq!(lines.pop().as_deref(), Some("MOVE"));
     let whole = |(n, line): (usize, &String)| *line == format!("{n} {}", "x".repeat(100));
     assert!(lines.iter().enumerate().all(whole), "in order and whole: {} lines", lines.len());
@@ -142,17 +160,17 @@
     // Reads nothing until the story is over.
     let (_done, wait) = channel::<()>();
     let wait = Arc::new(Mutex::new(wait));
-    let deaf = instance(move |mut peer| {
-        if peer.hear().starts_with("OPEN") {
-            peer.say("UP 1\r\n");
+    let deaf = spawn_instance(move |mut peer| {
+        if peer.receive_line().starts_with("OPEN") {
+            peer.send_text("UP 1\r\n");
             let _ = told.send(());
             let _ = wait.lock().unwrap().recv();
         }
     });
-    let list = [entry("s-00000001", deaf, "ready")];
-    let mut balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let before = resident(balancer.id());
-    let flood = |client: &mut Lines| {
+    let list = [list_entry("s-00000001", deaf, "ready")];
+    let mut balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let before = resident(balancer.process_id());
+    let flood = |client: &mut LineConnection| {
         client.stream.set_nonblocking(true).unwrap();
         let junk = vec![b'x'; 1 << 16];
         // Until nothing more is taken, or the connection is ended.
@@ -162,24 +180,27 @@
     };
     let mut most = before;
     for round in 0..4 {
-        let mut stand: Vec<Lines> = (0..40)
+        let mut stand: Vec<LineConnection> = (0..40)
             .map(|n| {
-                let mut client = balancer.client();
-                assert_eq!(client.say(&format!("OPEN {round}-{n} {n} c=watch,d=2000\r\n")).hear(), "UP 1");
+                let mut client = balancer.connect_client();
+                assert_eq!(
+                    client.send_text(&format!("OPEN {round}-{n} {n} c=watch,d=2000\r\n")).receive_line(),
+                    "UP 1"
+                );
                 heard.recv().unwrap();
                 client
             })
             .collect();
-        let mut ask: Vec<Lines> = (0..40).map(|_| balancer.client()).collect();
+        let mut ask: Vec<LineConnection> = (0..40).map(|_| balancer.connect_client()).collect();
         let sent: usize = stand.iter_mut().chain(&mut ask).map(flood).sum();
         assert!(sent > 40 << 16, "{sent}");
         // One more is served all the same: by then the others' bytes were read.
-        let mut one = balancer.client();
-        assert_eq!(one.say(&format!("OPEN {round}-one one c=watch,d=2000\r\n")).hear(), "UP 1");
+        let mut one = balancer.connect_client();
+        assert_eq!(one.send_text(&format!("OPEN {round}-one one c=watch,d=2000\r\n")).receive_line(), "UP 1");
         heard.recv().unwrap();
-        most = most.max(resident(balancer.id()));
+        most = most.max(resident(balancer.process_id()));
     }
     // 80 at a time with a line of 4 KB or four of them each way, beside what the program itself needs.
     assert!(most < before + 8_192, "{before} KB, then {most} KB");
-    assert!(balancer.runs());
+    assert!(balancer.is_running());
 }
--- a/tests/crowd/mod.rs
+++ b/tests/crowd/mod.rs
@@ -129,7 +129,7 @@
 pub fn servers() -> Vec<String> {
     let (told, _) = channel();
     let names = ["s-00000001", "s-00000002", "s-00000003"];
-    names.map(|name| entry(name, echo(name, told.clone()), "ready")).to_vec()
+    names.map(|name| list_entry(name, echo_instance(name, told.clone()), "ready")).to_vec()
 }
 
 pub fn contracts(capacity: usize, teams: &[(&str, usize, &str)]) -> String {
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -24,13 +24,15 @@
 /// A customer's balancer with two instances that fail, and how often they were asked.
 fn served(settings: &str) -> (Balancer, Receiver<String>) {
     let (told, heard) = channel();
-    let list = ["s-00000001", "s-00000002"].map(|name| entry(name, failing(told.clone()), "ready"));
-    (Balancer::with(&Discovery::quiet(), &list, None, settings, "text"), heard)
+    let list =
+        ["s-00000001", "s-00000002"].map(|name| list_entry(name, failing_instance(told.clone()), "ready"));
+    (Balancer::start_with(&Discovery::without_updates(), &list, None, settings, "text"), heard)
 }
 
 /// What a command of a class is answered, and how often it was sent out for that.
 fn sent(balancer: &Balancer, heard: &Receiver<String>, class: &str, id: &str) -> (String, usize) {
-    let answer = balancer.client().say(&format!("OPEN {id} 2 c={class},d=2000\r\n")).hear();
+    let answer =
+        balancer.connect_client().send_text(&format!("OPEN {id} 2 c={class},d=2000\r\n")).receive_line();
     let sends = heard.try_iter().filter(|first| first.starts_with(&format!("OPEN {id} "))).count();
     (answer, sends)
 }
@@ -55,11 +57,12 @@
 #[test]
 fn a_client_is_answered_in_the_time_and_told_the_wait_of_its_own_customer() {
     let wait = |settings: &str, class: &str| {
-        let shut = Shut::new();
-        let list = [entry("s-00000001", shut.address(), "ready")];
-        let balancer = Balancer::with(&Discovery::quiet(), &list, None, settings, "text");
+        let shut = FullListener::new();
+        let list = [list_entry("s-00000001", shut.address(), "ready")];
+        let balancer = Balancer::start_with(&Discovery::without_updates(), &list, None, settings, "text");
         let begun = Instant::now();
-        let answer = balancer.client().say(&format!("OPEN 1 2 c={class},d=9000\r\n")).hear();
+        let answer =
+            balancer.connect_client().send_text(&format!("OPEN 1 2 c={class},d=9000\r\n")).receive_line();
         assert!(answer.starts_with("BUSY") || answer.starts_with("ERR"), "{answer}");
         (begun.elapsed(), answer)
     };
@@ -68,9 +71,10 @@
     assert!(took < Duration::from_millis(3_000), "{took:?}");
     // Nobody is there at all: all are told to come back, as late as their own customer allows at most.
     let back = |settings: &str| {
-        let balancer = Balancer::with(&Discovery::quiet(), &[], None, settings, "text");
+        let balancer = Balancer::start_with(&Discovery::without_updates(), &[], None, settings, "text");
         let after = (0..20).map(|n| {
-            let answer = balancer.client().say(&format!("OPEN {n} 2 c=alert,d=400\r\n")).hear();
+            let answer =
+                balancer.connect_client().send_text(&format!("OPEN {n} 2 c=alert,d=400\r\n")).receive_line();
             answer.strip_prefix("BUSY ").expect(&answer).parse::<u64>().unwrap()
         });
         after.max().unwrap()
@@ -85,8 +89,8 @@
 fn another_customers_settings_do_not_come_in_by_a_signal() {
     let (pilots, heard) = served(PILOTS);
     assert_eq!(sent(&pilots, &heard, "alert", "before").1, 1);
-    pilots.reload(|text| text.replace(PILOTS, WARDS));
-    assert!(pilots.logged("ignored until the next start").contains("settings"));
+    pilots.reload_config(|text| text.replace(PILOTS, WARDS));
+    assert!(pilots.wait_for_log("ignored until the next start").contains("settings"));
     assert_eq!(sent(&pilots, &heard, "alert", "after").1, 1, "it may go out once still");
     assert!(sent(&pilots, &heard, "feed", "fed").1 > 1, "and the other as often as before");
 }
@@ -95,24 +99,25 @@
 #[test]
 fn a_new_file_of_teams_leaves_nothing_of_the_old_ones_contracts() {
     let (told, _heard) = channel();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
+    let list = [list_entry("s-00000001", echo_instance("a", told), "ready")];
     let teams = |name: &str, most: u32| {
         format!("[[team]]\nname = \"{name}\"\nconnections = {most}\n[capacity]\nconnections = {most}\n")
     };
-    let balancer = Balancer::with(&Discovery::quiet(), &list, Some(&teams("pilots", 2)), PILOTS, "text");
+    let balancer =
+        Balancer::start_with(&Discovery::without_updates(), &list, Some(&teams("pilots", 2)), PILOTS, "text");
     let open = |id: &str, team: &str| {
-        let mut client = balancer.client();
-        let answer = client.say(&format!("OPEN {id} 1 c=feed,d=2000,t={team}\r\n")).hear();
+        let mut client = balancer.connect_client();
+        let answer = client.send_text(&format!("OPEN {id} 1 c=feed,d=2000,t={team}\r\n")).receive_line();
         (client, answer)
     };
     let stand = [open("1", "pilots"), open("2", "pilots")];
     assert!(stand.iter().all(|(_, answer)| answer.starts_with("UP")), "{:?}", [&stand[0].1, &stand[1].1]);
     assert!(open("3", "pilots").1.starts_with("BUSY"), "its contract and the room are two");
-    balancer.operate(&teams("wards", 5));
-    balancer.logged("configuration read again");
+    balancer.reload_operator_file(&teams("wards", 5));
+    balancer.wait_for_log("configuration read again");
     // Two of five are held by those that stand; nothing of the other team's two is the limit of this one.
     let come = ["4", "5", "6"].map(|id| open(id, "wards"));
     assert!(come.iter().all(|(_, answer)| answer.starts_with("UP")), "{:?}", come.map(|(_, a)| a));
     let mut first = stand.into_iter().next().unwrap().0;
-    assert_eq!(first.say("here\r\n").hear(), "here", "who stood goes on standing");
+    assert_eq!(first.send_text("here\r\n").receive_line(), "here", "who stood goes on standing");
 }
--- a/tests/ending.rs
+++ b/tests/ending.rs
@@ -12,21 +12,22 @@
 
 fn echoing() -> Vec<String> {
     let (told, _) = channel();
-    vec![entry("s-00000001", echo("a", told), "ready")]
+    vec![list_entry("s-00000001", echo_instance("a", told), "ready")]
 }
 
 /// Guards against connections that are cut off at the end without a word: one rests, one has half a line, one says nothing.
 #[test]
 fn whoever_rests_at_the_end_is_answered_and_closed_softly() {
-    let balancer = Balancer::with(&Discovery::quiet(), &echoing(), None, &settings(), "text");
-    let (mut rests, mut half, mut mute) = (balancer.client(), balancer.client(), balancer.client());
-    assert_eq!(rests.say("PING\r\n").hear(), "PONG");
-    half.say("PING\r\nOPEN 1 2 c=wa");
-    assert_eq!(half.hear(), "PONG");
-    assert_eq!(mute.say("PING\r\n").hear(), "PONG");
+    let balancer = Balancer::start_with(&Discovery::without_updates(), &echoing(), None, &settings(), "text");
+    let (mut rests, mut half, mut mute) =
+        (balancer.connect_client(), balancer.connect_client(), balancer.connect_client());
+    assert_eq!(rests.send_text("PING\r\n").receive_line(), "PONG");
+    half.send_text("PING\r\nOPEN 1 2 c=wa");
+    assert_eq!(half.receive_line(), "PONG");
+    assert_eq!(mute.send_text("PING\r\n").receive_line(), "PONG");
     balancer.terminate();
     for peer in [&mut rests, &mut half, &mut mute] {
-        assert_eq!((peer.hear().as_str(), peer.hear().as_str()), ("BUSY", "END"));
+        assert_eq!((peer.receive_line().as_str(), peer.receive_line().as_str()), ("BUSY", "END"));
     }
 }
 
@@ -34,39 +35,39 @@
 /// until its end has passed, and finds both in one turn.
 #[test]
 fn a_first_line_that_comes_in_the_moment_of_the_end_has_its_answer() {
-    let balancer = Balancer::with(&Discovery::quiet(), &echoing(), None, &settings(), "text");
-    let mut rests = balancer.client();
-    assert_eq!(rests.say("PING\r\n").hear(), "PONG");
+    let balancer = Balancer::start_with(&Discovery::without_updates(), &echoing(), None, &settings(), "text");
+    let mut rests = balancer.connect_client();
+    assert_eq!(rests.send_text("PING\r\n").receive_line(), "PONG");
     balancer.terminate();
-    balancer.logged("leaving: ");
+    balancer.wait_for_log("leaving: ");
     balancer.signal("-STOP");
     // Longer than it has; nothing else tells that its end has passed.
     std::thread::sleep(std::time::Duration::from_millis(1_500));
-    rests.say("OPEN 1 2 c=watch,d=5000\r\n");
+    rests.send_text("OPEN 1 2 c=watch,d=5000\r\n");
     balancer.signal("-CONT");
-    let answer = rests.hear();
+    let answer = rests.receive_line();
     assert!(answer == "BUSY" || answer == "UP 1", "{answer}");
     if answer == "UP 1" {
-        assert_eq!(rests.hear(), "MOVE");
+        assert_eq!(rests.receive_line(), "MOVE");
     }
-    assert_eq!(rests.hear(), "END");
+    assert_eq!(rests.receive_line(), "END");
 }
 
 /// Guards against a close over bytes unread, which resets the connection and takes the last line with it.
 #[test]
 fn a_moved_client_that_has_written_meanwhile_has_its_last_lines_and_a_plain_end() {
     let (told, heard) = channel();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
-    let balancer = Balancer::with(&Discovery::quiet(), &list, None, &settings(), "text");
-    let mut client = balancer.client();
-    assert_eq!(client.say("OPEN 1 2 c=watch,d=700\r\n").hear(), "UP 1");
+    let list = [list_entry("s-00000001", echo_instance("a", told), "ready")];
+    let balancer = Balancer::start_with(&Discovery::without_updates(), &list, None, &settings(), "text");
+    let mut client = balancer.connect_client();
+    assert_eq!(client.send_text("OPEN 1 2 c=watch,d=700\r\n").receive_line(), "UP 1");
     heard.recv().unwrap();
     balancer.terminate();
-    balancer.logged("leaving: ");
+    balancer.wait_for_log("leaving: ");
     balancer.signal("-STOP");
     std::thread::sleep(std::time::Duration::from_millis(900));
-    client.say("one more\r\nhalf a li");
+    client.send_text("one more\r\nhalf a li");
     balancer.signal("-CONT");
-    let rest = client.rest();
+    let rest = client.receive_rest();
     assert!(rest.ends_with("MOVE\r\n"), "{rest:?}");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 mod relay;
 
 use peers::*;
-use relay::{check, Group, SPAN};
+use relay::{check, Group, LEASE_SPAN_MS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::mpsc::channel;
 use std::thread;
@@ -15,8 +15,8 @@
 const ALL: [usize; 5] = [0, 1, 2, 3, 4];
 
 fn start_group(name: &str, sections: &str, format: &'static str) -> Group {
-    let group = Group::with(name, 5, echo("a", channel().0), &[], sections, format);
-    group.until("all members", |group| ALL.iter().all(|&i| group.sees(i) == 5));
+    let group = Group::start_with(name, 5, echo_instance("a", channel().0), &[], sections, format);
+    group.wait_until("all members", |group| ALL.iter().all(|&i| group.visible_members(i) == 5));
     group
 }
 
@@ -37,9 +37,9 @@
         for &i in to {
             for team in ["north", "east"] {
                 for k in 0..n {
-                    let mut client = group.client(i);
-                    client.say(&format!("OPEN {team}-{i}-{k}-{n} 2 c=watch,d=2000,t={team}\r\n"));
-                    assert_eq!(client.hear(), "UP 1");
+                    let mut client = group.connect_client(i);
+                    client.send_text(&format!("OPEN {team}-{i}-{k}-{n} 2 c=watch,d=2000,t={team}\r\n"));
+                    assert_eq!(client.receive_line(), "UP 1");
                     *requests.get_mut(team).unwrap() += 1;
                     clients.push(client);
                 }
@@ -49,26 +49,26 @@
     };
     open_clients(&group, &ALL, 3);
     let is_takeover = |line: &str| line.contains("account is ours under token");
-    group.logged(0, &|_, line| is_takeover(line));
+    group.wait_for_log(0, &|_, line| is_takeover(line));
     // After three complete pages with rows of all five processes their writer is killed.
     let is_complete = |line: &str| line.contains("page of the account") && line.contains("\"missing\":\"\"");
     let has_rows = |line: &str, n: u64| is_complete(line) && number(line, "rows") == n;
-    group.until("pages", |group| group.log().iter().filter(|(_, line)| has_rows(line, 10)).count() >= 3);
+    group.wait_until("pages", |group| group.log().iter().filter(|(_, line)| has_rows(line, 10)).count() >= 3);
     let log = group.log();
     let writer = log.iter().rev().find(|(_, line)| is_takeover(line)).unwrap().0;
     // Its counts are in a page by now; later clients go to the other processes.
     group.kill(writer);
-    let mark = group.mark();
+    let mark = group.log_length();
     let others: Vec<usize> = ALL.into_iter().filter(|&i| i != writer).collect();
     let requests = open_clients(&group, &others, 2);
-    group.logged(mark, &|i, line| i != writer && is_takeover(line));
-    group.run(writer);
-    let restarted = group.mark();
+    group.wait_for_log(mark, &|i, line| i != writer && is_takeover(line));
+    group.start_process(writer);
+    let restarted = group.log_length();
     // Waits for a page that was started after all processes had reported.
     thread::sleep(Duration::from_millis(1_500));
-    group.logged(restarted, &|_, line| is_complete(line));
-    let after_reports = group.mark();
-    group.logged(after_reports, &|_, line| is_complete(line));
+    group.wait_for_log(restarted, &|_, line| is_complete(line));
+    let after_reports = group.log_length();
+    group.wait_for_log(after_reports, &|_, line| is_complete(line));
 
     let log = group.log();
     let pages: Vec<(usize, u64, u64)> = log
@@ -103,59 +103,59 @@
 #[test]
 fn a_lost_folder_can_be_replaced_at_runtime_and_an_outdated_one_is_rejected() {
     let mut group = start_group("folders", "", "text");
-    let (holder, _) = group.taken(0);
+    let (holder, _) = group.wait_for_lease_holder(0);
     // A voter that is not the holder loses its folder: without one it serves and does not vote; with a new one it votes.
     let lost = (0..3).find(|&i| i != holder).unwrap();
     group.kill(lost);
-    let copy = group.folder(lost).with_extension("copy");
-    std::fs::rename(group.folder(lost), &copy).unwrap();
-    let mark = group.mark();
-    group.run(lost);
-    group.logged(mark, &|i, line| i == lost && line.contains("does not vote"));
+    let copy = group.voter_folder(lost).with_extension("copy");
+    std::fs::rename(group.voter_folder(lost), &copy).unwrap();
+    let mark = group.log_length();
+    group.start_process(lost);
+    group.wait_for_log(mark, &|i, line| i == lost && line.contains("does not vote"));
     group.kill(lost);
-    group.found(lost, Some(lost));
-    group.run(lost);
-    let seated = |group: &Group, i: usize| group.show(i).lines().any(|line| line == "place ours");
-    let took = group.until("the seat", |group| seated(group, lost));
+    group.create_voter_folder(lost, Some(lost));
+    group.start_process(lost);
+    let seated = |group: &Group, i: usize| group.group_status(i).lines().any(|line| line == "place ours");
+    let took = group.wait_until("the seat", |group| seated(group, lost));
     println!("a new folder has its seat after {took:?}");
     // Its vote counts: another voter is killed, and the task still gets a holder.
     let other = (0..3).find(|&i| i != lost && i != holder).unwrap_or(3 - lost);
     group.kill(other);
-    let mark = group.mark();
-    (0..5).filter(|&i| i != other).for_each(|i| drop(group.call(i, "GIVEUP")));
-    let (_, took) = group.taken(mark);
+    let mark = group.log_length();
+    (0..5).filter(|&i| i != other).for_each(|i| drop(group.admin_command(i, "GIVEUP")));
+    let (_, took) = group.wait_for_lease_holder(mark);
     println!("with the new folder's vote a holder after {took:?}");
-    group.run(other);
-    group.until("all members", |group| ALL.iter().all(|&i| group.sees(i) == 5));
+    group.start_process(other);
+    group.wait_until("all members", |group| ALL.iter().all(|&i| group.visible_members(i) == 5));
     // The old folder is used again, as by another machine under the same name: it has no seat, which is logged.
     group.kill(lost);
-    let new = group.folder(lost).with_extension("new");
-    std::fs::rename(group.folder(lost), &new).unwrap();
-    std::fs::rename(&copy, group.folder(lost)).unwrap();
-    let mark = group.mark();
-    group.run(lost);
-    group.logged(mark, &|i, line| i == lost && line.contains("votes no more: another has its place"));
+    let new = group.voter_folder(lost).with_extension("new");
+    std::fs::rename(group.voter_folder(lost), &new).unwrap();
+    std::fs::rename(&copy, group.voter_folder(lost)).unwrap();
+    let mark = group.log_length();
+    group.start_process(lost);
+    group.wait_for_log(mark, &|i, line| i == lost && line.contains("votes no more: another has its place"));
     // The new folder is used again, and then an older copy of it.
     group.kill(lost);
-    std::fs::remove_dir_all(group.folder(lost)).unwrap();
-    let older = group.folder(lost).with_extension("older");
+    std::fs::remove_dir_all(group.voter_folder(lost)).unwrap();
+    let older = group.voter_folder(lost).with_extension("older");
     copy_folder(&new, &older);
-    std::fs::rename(&new, group.folder(lost)).unwrap();
-    group.run(lost);
-    group.until("the seat", |group| seated(group, lost));
-    let mark = group.mark();
-    (0..5).for_each(|i| drop(group.call(i, "GIVEUP")));
-    group.taken(mark);
-    thread::sleep(Duration::from_millis(2 * SPAN));
+    std::fs::rename(&new, group.voter_folder(lost)).unwrap();
+    group.start_process(lost);
+    group.wait_until("the seat", |group| seated(group, lost));
+    let mark = group.log_length();
+    (0..5).for_each(|i| drop(group.admin_command(i, "GIVEUP")));
+    group.wait_for_lease_holder(mark);
+    thread::sleep(Duration::from_millis(2 * LEASE_SPAN_MS));
     group.kill(lost);
-    std::fs::remove_dir_all(group.folder(lost)).unwrap();
-    std::fs::rename(&older, group.folder(lost)).unwrap();
-    let mark = group.mark();
-    group.run(lost);
-    group.logged(mark, &|i, line| i == lost && line.contains("its folder is an older copy"));
-    let mark = group.mark();
-    (0..5).for_each(|i| drop(group.call(i, "GIVEUP")));
-    group.taken(mark);
+    std::fs::remove_dir_all(group.voter_folder(lost)).unwrap();
+    std::fs::rename(&older, group.voter_folder(lost)).unwrap();
+    let mark = group.log_length();
+    group.start_process(lost);
+    group.wait_for_log(mark, &|i, line| i == lost && line.contains("its folder is an older copy"));
+    let mark = group.log_length();
+    (0..5).for_each(|i| drop(group.admin_command(i, "GIVEUP")));
+    group.wait_for_lease_holder(mark);
     assert_eq!(check(&group.acts()), Vec::<String>::new());
 }
 
--- a/tests/group.rs
+++ b/tests/group.rs
@@ -5,7 +5,7 @@
 mod relay;
 
 use peers::*;
-use relay::{check, Act, Group, SPAN};
+use relay::{check, Act, Group, LEASE_SPAN_MS};
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::mpsc::channel;
 use std::thread;
@@ -15,8 +15,8 @@
 
 fn start_group(name: &str, clock_rates: &[f64]) -> Group {
     let (echoed, _) = channel();
-    let group = Group::start(name, 5, echo("a", echoed), clock_rates);
-    let took = group.until("all members", |group| ALL.iter().all(|&i| group.sees(i) == 5));
+    let group = Group::start(name, 5, echo_instance("a", echoed), clock_rates);
+    let took = group.wait_until("all members", |group| ALL.iter().all(|&i| group.visible_members(i) == 5));
     println!("{name}: all five see each other after {took:?}");
     group
 }
@@ -26,47 +26,49 @@
 #[test]
 fn one_holder_at_a_time_through_kills_stops_cuts_and_lossy_links() {
     let mut group = start_group("faults", &[1.01, 0.99, 1.0, 1.01, 0.99]);
-    let (mut holder, took) = group.taken(0);
+    let (mut holder, took) = group.wait_for_lease_holder(0);
     println!("first holder after {took:?}");
 
     // The holder is killed, and started again as a new process.
-    let mark = group.mark();
+    let mark = group.log_length();
     group.kill(holder);
-    let (next, took) = group.taken(mark);
+    let (next, took) = group.wait_for_lease_holder(mark);
     println!("killed: next holder after {took:?}");
     assert_ne!(next, holder);
-    group.run(holder);
-    group.until("the killed member", |group| ALL.iter().all(|&i| group.sees(i) == 5));
+    group.start_process(holder);
+    group.wait_until("the killed member", |group| ALL.iter().all(|&i| group.visible_members(i) == 5));
     holder = next;
 
     // The holder is stopped for three lease spans while it acts: when it continues it holds nothing.
-    let mark = group.mark();
+    let mark = group.log_length();
     group.signal(holder, "-STOP");
     let started = Instant::now();
-    let (next, took) = group.taken(mark);
+    let (next, took) = group.wait_for_lease_holder(mark);
     println!("stopped: next holder after {took:?}");
-    thread::sleep(Duration::from_millis(3 * SPAN).saturating_sub(started.elapsed()));
+    thread::sleep(Duration::from_millis(3 * LEASE_SPAN_MS).saturating_sub(started.elapsed()));
     group.signal(holder, "-CONT");
-    group.logged(mark, &|i, line| i == holder && line.contains("no longer ours"));
-    group.until("the stopped member", |group| ALL.iter().all(|&i| group.sees(i) == 5));
+    group.wait_for_log(mark, &|i, line| i == holder && line.contains("no longer ours"));
+    group.wait_until("the stopped member", |group| ALL.iter().all(|&i| group.visible_members(i) == 5));
     holder = next;
 
     // The holder receives datagrams, and those that it sends are lost.
-    let mark = group.mark();
-    group.ways(&[holder], &ALL, |way| way.cut.store(true, Relaxed));
-    let (next, took) = group.taken(mark);
+    let mark = group.log_length();
+    group.change_links(&[holder], &ALL, |way| way.cut.store(true, Relaxed));
+    let (next, took) = group.wait_for_lease_holder(mark);
     println!("outgoing links cut: next holder after {took:?}");
     assert_ne!(next, holder);
-    group.ways(&[holder], &ALL, |way| way.cut.store(false, Relaxed));
-    group.until("the member that was cut off", |group| ALL.iter().all(|&i| group.sees(i) == 5));
+    group.change_links(&[holder], &ALL, |way| way.cut.store(false, Relaxed));
+    group.wait_until("the member that was cut off", |group| {
+        ALL.iter().all(|&i| group.visible_members(i) == 5)
+    });
 
     // 30% loss, 30% duplication and 200 ms of jitter: the group continues, with more delay.
-    group.ways(&ALL, &ALL, |way| {
+    group.change_links(&ALL, &ALL, |way| {
         way.lost.store(30, Relaxed);
         way.late.store(200, Relaxed);
     });
-    thread::sleep(Duration::from_millis(2 * SPAN));
-    group.ways(&ALL, &ALL, |way| {
+    thread::sleep(Duration::from_millis(2 * LEASE_SPAN_MS));
+    group.change_links(&ALL, &ALL, |way| {
         way.lost.store(0, Relaxed);
         way.late.store(0, Relaxed);
     });
@@ -74,16 +76,17 @@
     // All voters are killed at once, and started again with their folders.
     let highest_token = group.acts().iter().map(|act| act.token).max().unwrap();
     (0..3).for_each(|i| group.kill(i));
-    let mark = group.mark();
-    (0..3).for_each(|i| group.run(i));
+    let mark = group.log_length();
+    (0..3).for_each(|i| group.start_process(i));
     let started = Instant::now();
-    group.until("a new action", |group| {
-        group.acts().iter().any(|act| act.token > highest_token) || group.mark() > mark && group.sees(0) == 5
+    group.wait_until("a new action", |group| {
+        group.acts().iter().any(|act| act.token > highest_token)
+            || group.log_length() > mark && group.visible_members(0) == 5
     });
-    let mark = group.mark();
-    group.call(0, "STEPDOWN");
-    (0..5).for_each(|i| drop(group.call(i, "GIVEUP")));
-    group.taken(mark);
+    let mark = group.log_length();
+    group.admin_command(0, "STEPDOWN");
+    (0..5).for_each(|i| drop(group.admin_command(i, "GIVEUP")));
+    group.wait_for_lease_holder(mark);
     println!("all voters killed: back after {:?}", started.elapsed());
     let acts = group.acts();
     println!(
@@ -100,41 +103,44 @@
 #[test]
 fn without_a_majority_nothing_is_granted_and_clients_are_served() {
     let group = start_group("majority", &[]);
-    let (holder, _) = group.taken(0);
-    let mut clients: Vec<Lines> = [3, 4]
+    let (holder, _) = group.wait_for_lease_holder(0);
+    let mut clients: Vec<LineConnection> = [3, 4]
         .into_iter()
         .flat_map(|i| (0..10).map(move |n| (i, n)))
         .map(|(i, n)| {
-            let mut client = group.client(i);
-            assert_eq!(client.say(&format!("OPEN c{i}-{n} 2 c=watch,d=2000\r\n")).hear(), "UP 1");
+            let mut client = group.connect_client(i);
+            assert_eq!(
+                client.send_text(&format!("OPEN c{i}-{n} 2 c=watch,d=2000\r\n")).receive_line(),
+                "UP 1"
+            );
             client
         })
         .collect();
     // Two of the three voters are each cut off from all other members.
     for i in [0, 1] {
-        group.ways(&[i], &ALL, |way| way.cut.store(true, Relaxed));
-        group.ways(&ALL, &[i], |way| way.cut.store(true, Relaxed));
+        group.change_links(&[i], &ALL, |way| way.cut.store(true, Relaxed));
+        group.change_links(&ALL, &[i], |way| way.cut.store(true, Relaxed));
     }
-    group.logged(0, &|i, line| i == holder && line.contains("no longer ours"));
-    let mark = group.mark();
-    let until = Instant::now() + Duration::from_millis(3 * SPAN);
+    group.wait_for_log(0, &|i, line| i == holder && line.contains("no longer ours"));
+    let mark = group.log_length();
+    let until = Instant::now() + Duration::from_millis(3 * LEASE_SPAN_MS);
     let mut lines = 0;
     while Instant::now() < until {
         for client in &mut clients {
-            assert_eq!(client.say("still here\r\n").hear(), "still here");
+            assert_eq!(client.send_text("still here\r\n").receive_line(), "still here");
             lines += 1;
         }
-        let mut new = group.client(4);
-        assert_eq!(new.say(&format!("OPEN new-{lines} 2 c=watch,d=2000\r\n")).hear(), "UP 1");
+        let mut new = group.connect_client(4);
+        assert_eq!(new.send_text(&format!("OPEN new-{lines} 2 c=watch,d=2000\r\n")).receive_line(), "UP 1");
     }
     // A lease granted before the cut may be announced late, but at least two lease spans pass without any action.
     let last_before =
         group.acts().into_iter().filter(|act| act.witness == act.holder).map(|act| act.us).max().unwrap();
     for i in [0, 1] {
-        group.ways(&[i], &ALL, |way| way.cut.store(false, Relaxed));
-        group.ways(&ALL, &[i], |way| way.cut.store(false, Relaxed));
+        group.change_links(&[i], &ALL, |way| way.cut.store(false, Relaxed));
+        group.change_links(&ALL, &[i], |way| way.cut.store(false, Relaxed));
     }
-    let (_, took) = group.taken(mark);
+    let (_, took) = group.wait_for_lease_holder(mark);
     println!("{lines} lines passed without a majority; a holder {took:?} after the links were restored");
     let first_after = group
         .acts()
@@ -142,8 +148,11 @@
         .filter(|act| act.witness == act.holder && act.us > last_before)
         .map(|act| act.us)
         .min();
-    assert!(first_after.unwrap() - last_before >= 2 * SPAN * 1_000, "a task was granted without a majority");
-    group.until("all members", |group| ALL.iter().all(|&i| group.sees(i) == 5));
+    assert!(
+        first_after.unwrap() - last_before >= 2 * LEASE_SPAN_MS * 1_000,
+        "a task was granted without a majority"
+    );
+    group.wait_until("all members", |group| ALL.iter().all(|&i| group.visible_members(i) == 5));
     assert_eq!(check(&group.acts()), Vec::<String>::new());
 }
 
@@ -154,26 +163,26 @@
     /// Delay of each write of the voter, in milliseconds.
     const WRITE_DELAY_MS: u64 = 300;
     let mut group = start_group("slow-disk", &[]);
-    group.taken(0);
-    let mut client = group.client(0);
-    client.say("OPEN slow 1 c=watch,d=2000\r\n");
-    assert_eq!(client.hear(), "UP 1");
+    group.wait_for_lease_holder(0);
+    let mut client = group.connect_client(0);
+    client.send_text("OPEN slow 1 c=watch,d=2000\r\n");
+    assert_eq!(client.receive_line(), "UP 1");
     drop(client);
     group.kill(0);
-    group.write_delay = WRITE_DELAY_MS;
-    group.run(0);
-    let mut client = group.client(0);
-    client.say("OPEN slower 1 c=watch,d=2000\r\n");
-    assert_eq!(client.hear(), "UP 1");
-    let mark = group.mark();
+    group.write_delay_ms = WRITE_DELAY_MS;
+    group.start_process(0);
+    let mut client = group.connect_client(0);
+    client.send_text("OPEN slower 1 c=watch,d=2000\r\n");
+    assert_eq!(client.receive_line(), "UP 1");
+    let mark = group.log_length();
     let mut times = Vec::new();
-    let until = Instant::now() + Duration::from_millis(4 * SPAN);
+    let until = Instant::now() + Duration::from_millis(4 * LEASE_SPAN_MS);
     while Instant::now() < until {
         // Each released task makes the voters write.
-        group.call(1, "GIVEUP");
+        group.admin_command(1, "GIVEUP");
         let started = Instant::now();
-        client.say("there?\r\n");
-        client.hear();
+        client.send_text("there?\r\n");
+        client.receive_line();
         times.push(started.elapsed());
         thread::sleep(Duration::from_millis(7));
     }
@@ -210,9 +219,9 @@
 /// Guards against a socket, a thread or a file of the group in a process without the section `[group]`.
 #[test]
 fn without_the_section_there_is_no_datagram_socket_no_thread_and_no_folder() {
-    let balancer = Balancer::operated(&Discovery::quiet(), &[], None);
-    assert!(balancer.call("GROUP\r\n").starts_with("400 no group"));
-    let proc = format!("/proc/{}", balancer.id());
+    let balancer = Balancer::start_with_admin(&Discovery::without_updates(), &[], None);
+    assert!(balancer.admin_command("GROUP\r\n").starts_with("400 no group"));
+    let proc = format!("/proc/{}", balancer.process_id());
     let status = std::fs::read_to_string(format!("{proc}/status")).unwrap();
     assert!(status.contains("Threads:\t1\n"), "{status}");
     let udp = std::fs::read_to_string("/proc/net/udp").unwrap();
--- a/tests/lines.rs
+++ b/tests/lines.rs
@@ -10,60 +10,60 @@
 #[test]
 fn a_connection_is_placed_passed_on_unchanged_and_ended_as_its_instance_ends_it() {
     let (told, heard) = channel();
-    let discovery = Discovery::quiet();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
+    let discovery = Discovery::without_updates();
+    let list = [list_entry("s-00000001", echo_instance("a", told), "ready")];
     let balancer = Balancer::start(&discovery, &list, None);
-    let mut client = balancer.client();
-    assert_eq!(client.say("PING\r\n").hear(), "PONG");
-    assert_eq!(client.say("OPEN 1f 2e c=watch,d=2000,g=7,x=9\r\n").hear(), "UP 1");
+    let mut client = balancer.connect_client();
+    assert_eq!(client.send_text("PING\r\n").receive_line(), "PONG");
+    assert_eq!(client.send_text("OPEN 1f 2e c=watch,d=2000,g=7,x=9\r\n").receive_line(), "UP 1");
     let (_, first) = heard.recv().unwrap();
     let left = first.strip_prefix("OPEN 1f 2e c=watch,d=").and_then(|s| s.strip_suffix(",g=7,x=9"));
     // What is really left, and no more than the try is waited for.
     assert!((1..=800).contains(&left.unwrap().parse::<u32>().unwrap()), "{first}");
-    assert_eq!(client.say("one\r\ntwo\r\n").hear(), "one");
-    assert_eq!(client.hear(), "two");
-    assert_eq!(client.say("quit\r\n").hear(), "BYE");
-    assert_eq!(client.hear(), "END");
+    assert_eq!(client.send_text("one\r\ntwo\r\n").receive_line(), "one");
+    assert_eq!(client.receive_line(), "two");
+    assert_eq!(client.send_text("quit\r\n").receive_line(), "BYE");
+    assert_eq!(client.receive_line(), "END");
 }
 
 /// Guards against a reader that takes a piece for a whole line, on any of the sockets.
 #[test]
 fn pieces_of_one_byte_mean_the_same_on_every_socket() {
-    fn drip(peer: &mut Lines, text: &str) {
+    fn drip(peer: &mut LineConnection, text: &str) {
         text.chars().for_each(|c| {
-            peer.say(&c.to_string());
+            peer.send_text(&c.to_string());
             std::thread::yield_now();
         });
     }
     let (told, heard) = channel();
-    let dripping = instance(move |mut peer| {
-        let _ = told.send(peer.hear());
+    let dripping = spawn_instance(move |mut peer| {
+        let _ = told.send(peer.receive_line());
         drip(&mut peer, "UP 1\r\nLOAD 5\r\n");
         loop {
-            match peer.hear().as_str() {
+            match peer.receive_line().as_str() {
                 "END" | "RESET" => return,
                 line => drip(&mut peer, &format!("{line}\r\n")),
             }
         }
     });
-    let discovery = Discovery::quiet();
-    let balancer = Balancer::operated(&discovery, &[], None);
-    discovery.called();
-    listing(2, &[entry("s-00000001", dripping, "ready")])
+    let discovery = Discovery::without_updates();
+    let balancer = Balancer::start_with_admin(&discovery, &[], None);
+    discovery.next_request();
+    watch_line(2, &[list_entry("s-00000001", dripping, "ready")])
         .chars()
         .for_each(|c| discovery.push(&c.to_string()));
-    balancer.logged("s-00000001 at");
-    let mut client = balancer.client();
+    balancer.wait_for_log("s-00000001 at");
+    let mut client = balancer.connect_client();
     drip(&mut client, "PING\r\n");
-    assert_eq!(client.hear(), "PONG");
+    assert_eq!(client.receive_line(), "PONG");
     drip(&mut client, "OPEN 1f 2e c=watch,d=2000\r\n");
-    assert_eq!((client.hear().as_str(), client.hear().as_str()), ("UP 1", "LOAD 5"));
+    assert_eq!((client.receive_line().as_str(), client.receive_line().as_str()), ("UP 1", "LOAD 5"));
     assert!(heard.recv().unwrap().starts_with("OPEN 1f 2e c=watch,d="));
     drip(&mut client, "one\r\n");
-    assert_eq!(client.hear(), "one");
-    let mut operator = Lines::to(balancer.admin.unwrap());
+    assert_eq!(client.receive_line(), "one");
+    let mut operator = LineConnection::connect(balancer.admin_address.unwrap());
     drip(&mut operator, "HEALTH\r\n");
-    assert_eq!(operator.rest(), "200 ready\r\n");
+    assert_eq!(operator.receive_rest(), "200 ready\r\n");
 }
 
 /// Guards against retries that overlap or go to one instance twice, and answers that are held back.
@@ -72,21 +72,21 @@
     let (told, heard) = channel();
     let full = |name: &'static str, answer: &'static str| {
         let told = told.clone();
-        instance(move |mut peer| {
-            let _ = told.send((name, peer.hear()));
-            peer.say(answer);
-            peer.hear();
+        spawn_instance(move |mut peer| {
+            let _ = told.send((name, peer.receive_line()));
+            peer.send_text(answer);
+            peer.receive_line();
             let _ = told.send((name, "closed".into()));
         })
     };
     let list = [
-        entry("s-00000001", full("a", "BUSY\r\n"), "ready"),
-        entry("s-00000002", full("b", "ERR\r\n"), "ready"),
-        entry("s-00000003", nobody(), "ready"),
+        list_entry("s-00000001", full("a", "BUSY\r\n"), "ready"),
+        list_entry("s-00000002", full("b", "ERR\r\n"), "ready"),
+        list_entry("s-00000003", closed_address(), "ready"),
     ];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
     let since = Instant::now();
-    let answer = balancer.client().say("OPEN 1f 2e c=watch,d=2000\r\n").hear();
+    let answer = balancer.connect_client().send_text("OPEN 1f 2e c=watch,d=2000\r\n").receive_line();
     let after: u64 = answer.strip_prefix("BUSY ").expect(&answer).parse().unwrap();
     assert!(after <= 2000 && since.elapsed() < Duration::from_millis(1500), "{answer}");
     let told: Vec<_> = (0..4).map(|_| heard.recv().unwrap()).collect();
@@ -99,15 +99,15 @@
     let (told, heard) = channel();
     let silent = || {
         let told = told.clone();
-        instance(move |mut peer| {
+        spawn_instance(move |mut peer| {
             let _ = told.send(());
-            while !matches!(peer.hear().as_str(), "END" | "RESET") {}
+            while !matches!(peer.receive_line().as_str(), "END" | "RESET") {}
         })
     };
-    let list = [1, 2, 3, 4].map(|i| entry(&format!("s-0000000{i}"), silent(), "ready"));
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
+    let list = [1, 2, 3, 4].map(|i| list_entry(&format!("s-0000000{i}"), silent(), "ready"));
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
     let since = Instant::now();
-    let answer = balancer.client().say("OPEN 1f 2e c=watch,d=1200\r\n").hear();
+    let answer = balancer.connect_client().send_text("OPEN 1f 2e c=watch,d=1200\r\n").receive_line();
     assert!(answer.starts_with("BUSY") || answer.starts_with("ERR"), "{answer}");
     // Well before the class's own 2 s; a crowded machine may take longer than the 15 ms left to show it.
     assert!(since.elapsed() < Duration::from_millis(1700), "{:?}", since.elapsed());
@@ -120,10 +120,10 @@
 #[test]
 fn bad_first_lines_fail_for_their_sender_alone() {
     let (told, heard) = channel();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
-    let mut balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let mut usual = balancer.client();
-    assert_eq!(usual.say("OPEN usual 2 c=watch,d=2000\r\n").hear(), "UP 1");
+    let list = [list_entry("s-00000001", echo_instance("a", told), "ready")];
+    let mut balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let mut usual = balancer.connect_client();
+    assert_eq!(usual.send_text("OPEN usual 2 c=watch,d=2000\r\n").receive_line(), "UP 1");
     for bad in [
         "HELLO\r\n",
         "OPEN 1 2 c=nobody,d=9\r\n",
@@ -143,36 +143,36 @@
         &"OPEN 1 2 c=watch,d=2000\r\n".repeat(300),
         &format!("OPEN 1 2 c=watch,d=9,x={}\r\n", "x".repeat(5000)),
     ] {
-        let mut client = balancer.client();
-        let answer = client.say(bad).hear();
+        let mut client = balancer.connect_client();
+        let answer = client.send_text(bad).receive_line();
         assert!(answer.starts_with("ERR "), "{bad:.30}: {answer}");
-        assert_eq!(client.hear(), "END", "{bad:.30}");
-        balancer.logged("WARN");
+        assert_eq!(client.receive_line(), "END", "{bad:.30}");
+        balancer.wait_for_log("WARN");
     }
-    balancer.client().say("OPEN 1 2 c=wa");
-    balancer.logged("half a line");
-    assert_eq!(balancer.client().say("OPEN 5 2 c=watch,d=2000\r\n").hear(), "UP 1");
-    assert_eq!(usual.say("still mine\r\n").hear(), "still mine");
+    balancer.connect_client().send_text("OPEN 1 2 c=wa");
+    balancer.wait_for_log("half a line");
+    assert_eq!(balancer.connect_client().send_text("OPEN 5 2 c=watch,d=2000\r\n").receive_line(), "UP 1");
+    assert_eq!(usual.send_text("still mine\r\n").receive_line(), "still mine");
     let came: Vec<String> = heard.try_iter().map(|(_, first)| first).collect();
     assert!(came.len() == 2 && came[1].starts_with("OPEN 5 "), "{came:?}");
-    assert!(balancer.runs());
+    assert!(balancer.is_running());
 }
 
 /// Guards against what a client says out of turn reaching an instance, and its place there being kept.
 #[test]
 fn a_client_that_does_not_wait_for_its_answer_loses_its_claim_to_one() {
     let (told, heard) = channel();
-    let slow = instance(move |mut peer| {
-        let first = peer.hear();
+    let slow = spawn_instance(move |mut peer| {
+        let first = peer.receive_line();
         let _ = told.send(first);
-        let _ = told.send(peer.hear());
+        let _ = told.send(peer.receive_line());
     });
-    let list = [entry("s-00000001", slow, "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let mut client = balancer.client();
-    client.say("OPEN 1 2 c=watch,d=2000\r\n");
+    let list = [list_entry("s-00000001", slow, "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let mut client = balancer.connect_client();
+    client.send_text("OPEN 1 2 c=watch,d=2000\r\n");
     assert!(heard.recv().unwrap().starts_with("OPEN 1 2"));
-    assert_eq!(client.say("OPEN 2 2 c=watch,d=2000\r\n").hear(), "ERR out of turn");
+    assert_eq!(client.send_text("OPEN 2 2 c=watch,d=2000\r\n").receive_line(), "ERR out of turn");
     assert_eq!(heard.recv().unwrap(), "END");
 }
 
@@ -180,14 +180,14 @@
 #[test]
 fn a_client_that_sends_without_end_is_told_and_cut_off() {
     let (told, _heard) = channel();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let mut client = balancer.client();
+    let list = [list_entry("s-00000001", echo_instance("a", told), "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let mut client = balancer.connect_client();
     let since = Instant::now();
     let block = vec![b'x'; 1 << 20];
     let sent = (0..60).take_while(|_| client.stream.write_all(&block).is_ok()).count();
     assert!(sent < 60, "all of it was taken");
-    assert_eq!(client.hear(), "ERR a line of over 4 KiB");
+    assert_eq!(client.receive_line(), "ERR a line of over 4 KiB");
     assert!(since.elapsed() < Duration::from_secs(3));
 }
 
@@ -195,26 +195,29 @@
 #[test]
 fn hundreds_that_say_nothing_are_ended_soon_and_take_nothing_from_those_who_ask() {
     let (told, _heard) = channel();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
+    let list = [list_entry("s-00000001", echo_instance("a", told), "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
     let since = Instant::now();
-    let mut drip = balancer.client();
-    let mut silent: Vec<Lines> = (0..DESCRIPTORS).map(|_| balancer.client()).collect();
+    let mut drip = balancer.connect_client();
+    let mut silent: Vec<LineConnection> = (0..DESCRIPTOR_LIMIT).map(|_| balancer.connect_client()).collect();
     for i in 0..20 {
-        assert_eq!(balancer.client().say(&format!("OPEN {i} 2 c=watch,d=2000\r\n")).hear(), "UP 1");
+        assert_eq!(
+            balancer.connect_client().send_text(&format!("OPEN {i} 2 c=watch,d=2000\r\n")).receive_line(),
+            "UP 1"
+        );
     }
     // The first were called away to make room, the last have their time.
-    assert_eq!(silent[0].hear(), "BUSY");
-    assert_eq!(drip.hear(), "BUSY");
-    let mut drip = balancer.client();
+    assert_eq!(silent[0].receive_line(), "BUSY");
+    assert_eq!(drip.receive_line(), "BUSY");
+    let mut drip = balancer.connect_client();
     while drip.stream.write_all(b"O").is_ok() && since.elapsed() < Duration::from_secs(20) {
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(silent.pop().unwrap().hear(), "END");
+    assert_eq!(silent.pop().unwrap().receive_line(), "END");
     assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
-    let mut check = balancer.client();
-    assert_eq!(check.say("PING\r\n").hear(), "PONG");
-    assert_eq!(check.say("PING\r\n").hear(), "PONG");
+    let mut check = balancer.connect_client();
+    assert_eq!(check.send_text("PING\r\n").receive_line(), "PONG");
+    assert_eq!(check.send_text("PING\r\n").receive_line(), "PONG");
 }
 
 /// Guards against SIGHUP ending the process, a bad file taking effect, and a gap or an end of what is known
@@ -222,70 +225,73 @@
 #[test]
 fn a_new_configuration_moves_the_watch_and_touches_nothing_that_stands() {
     let (told, heard) = channel();
-    let (a, b) = (echo("a", told.clone()), echo("b", told));
-    let whole = listing(1, &[entry("s-00000002", b, "ready")]);
+    let (a, b) = (echo_instance("a", told.clone()), echo_instance("b", told));
+    let whole = watch_line(1, &[list_entry("s-00000002", b, "ready")]);
     let list = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len());
     let busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string();
-    let old = Discovery::quiet();
-    let new = Discovery::new(vec![busy, list, OK.to_string() + &chunk("\n")]);
-    let mut balancer = Balancer::start(&old, &[entry("s-00000001", a, "ready")], None);
-    assert!(old.called().ends_with("from=1 HTTP/1.1"));
-    let mut stands = balancer.client();
-    assert_eq!(stands.say("OPEN 1 2 c=watch,d=2000\r\n").hear(), "UP 1");
-    balancer.reload(|text| text.replace("\"discovery\"", "\"no discovery\""));
-    balancer.logged("configuration not taken over");
+    let old = Discovery::without_updates();
+    let new = Discovery::new(vec![busy, list, CHUNKED_RESPONSE.to_string() + &http_chunk("\n")]);
+    let mut balancer = Balancer::start(&old, &[list_entry("s-00000001", a, "ready")], None);
+    assert!(old.next_request().ends_with("from=1 HTTP/1.1"));
+    let mut stands = balancer.connect_client();
+    assert_eq!(stands.send_text("OPEN 1 2 c=watch,d=2000\r\n").receive_line(), "UP 1");
+    balancer.reload_config(|text| text.replace("\"discovery\"", "\"no discovery\""));
+    balancer.wait_for_log("configuration not taken over");
     let there = new.address.to_string();
-    balancer.reload(|text| {
+    balancer.reload_config(|text| {
         let text = text.replace("\"no discovery\"", "\"discovery\"").replace("\"n0\"", "\"n9\"");
         text.replace(&old.address.to_string(), &there)
     });
-    balancer.logged(&format!("discovery is at {there}; ignored until the next start: name"));
+    balancer.wait_for_log(&format!("discovery is at {there}; ignored until the next start: name"));
     // What the old one knew does not count there: its versions are others. It is heard until the new one has
     // told the whole list.
-    assert_eq!(new.called(), "GET /catalog/members HTTP/1.1");
-    old.push(&listing(2, &[entry("s-00000003", b, "draining")]));
-    balancer.logged("s-00000003");
-    assert_eq!(new.called(), "GET /catalog/members HTTP/1.1");
-    balancer.logged("s-00000001 is no longer listed");
-    assert_eq!(new.called(), "GET /catalog/members?watch=1&from=1 HTTP/1.1");
-    balancer.reload(|text| text);
+    assert_eq!(new.next_request(), "GET /catalog/members HTTP/1.1");
+    old.push(&watch_line(2, &[list_entry("s-00000003", b, "draining")]));
+    balancer.wait_for_log("s-00000003");
+    assert_eq!(new.next_request(), "GET /catalog/members HTTP/1.1");
+    balancer.wait_for_log("s-00000001 is no longer listed");
+    assert_eq!(new.next_request(), "GET /catalog/members?watch=1&from=1 HTTP/1.1");
+    balancer.reload_config(|text| text);
     balancer.signal("-HUP");
-    balancer.logged("configuration read again");
+    balancer.wait_for_log("configuration read again");
     for i in 2..8 {
-        assert_eq!(balancer.client().say(&format!("OPEN {i} {i} c=watch,d=2000\r\n")).hear(), "UP 1");
+        assert_eq!(
+            balancer.connect_client().send_text(&format!("OPEN {i} {i} c=watch,d=2000\r\n")).receive_line(),
+            "UP 1"
+        );
     }
     assert!(heard.try_iter().skip(1).all(|(name, _)| name == "b"), "the new list is the whole one");
-    assert_eq!(stands.say("here\r\n").hear(), "here");
-    assert!(new.calls.try_recv().is_err(), "the same address is not watched anew");
+    assert_eq!(stands.send_text("here\r\n").receive_line(), "here");
+    assert!(new.requests.try_recv().is_err(), "the same address is not watched anew");
     balancer.terminate();
     balancer.signal("-HUP");
-    assert_eq!(stands.hear(), "MOVE");
-    assert!(balancer.runs());
+    assert_eq!(stands.receive_line(), "MOVE");
+    assert!(balancer.is_running());
 }
 
 /// Guards against a watch that is given up after a failure, and against sends to what drains.
 #[test]
 fn discovery_may_fail_in_many_ways_and_is_asked_again_and_what_drains_gets_nothing_new() {
     let (told, heard) = channel();
-    let (a, b) = (echo("a", told.clone()), echo("b", told));
+    let (a, b) = (echo_instance("a", told.clone()), echo_instance("b", told));
     let discovery = Discovery::new(vec![
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into(),
         "junk\r\n\r\n".into(),
-        OK.to_string() + &chunk("{\"index\":\n"),
-        OK.to_string() + &chunk("\n"),
+        CHUNKED_RESPONSE.to_string() + &http_chunk("{\"index\":\n"),
+        CHUNKED_RESPONSE.to_string() + &http_chunk("\n"),
     ]);
-    let list = [entry("s-00000001", a, "ready"), entry("s-00000002", b, "ready")];
+    let list = [list_entry("s-00000001", a, "ready"), list_entry("s-00000002", b, "ready")];
     let balancer = Balancer::start(&discovery, &list, None);
     for _ in 0..4 {
-        assert_eq!(discovery.called(), "GET /catalog/members?watch=1&from=1 HTTP/1.1");
+        assert_eq!(discovery.next_request(), "GET /catalog/members?watch=1&from=1 HTTP/1.1");
     }
-    discovery.push(&listing(2, &[entry("s-00000001", a, "draining")]));
-    balancer.logged("s-00000001");
-    discovery.push(&listing(1, &[entry("s-00000001", a, "ready")]));
-    balancer.logged("version 1 of the list came after 2");
+    discovery.push(&watch_line(2, &[list_entry("s-00000001", a, "draining")]));
+    balancer.wait_for_log("s-00000001");
+    discovery.push(&watch_line(1, &[list_entry("s-00000001", a, "ready")]));
+    balancer.wait_for_log("version 1 of the list came after 2");
     for i in 0..8 {
         let open = format!("OPEN {i} {i} c=watch,d=2000,g=g{i}\r\n");
-        assert_eq!(balancer.client().say(&open).hear(), "UP 1");
+        assert_eq!(balancer.connect_client().send_text(&open).receive_line(), "UP 1");
         assert_eq!(heard.recv().unwrap().0, "b");
     }
 }
@@ -293,12 +299,12 @@
 #[test]
 fn what_stood_before_goes_to_its_instance_and_nowhere_else() {
     let (told, heard) = channel();
-    let (a, b) = (echo("a", told.clone()), echo("b", told));
-    let list = [entry("s-00000001", a, "ready"), entry("s-00000002", b, "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
+    let (a, b) = (echo_instance("a", told.clone()), echo_instance("b", told));
+    let list = [list_entry("s-00000001", a, "ready"), list_entry("s-00000002", b, "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
     for i in 0..6 {
         let open = format!("OPEN {i} {i} c=watch,d=4294967,g={i},at=s-00000002\r\n");
-        assert_eq!(balancer.client().say(&open).hear(), "UP 1");
+        assert_eq!(balancer.connect_client().send_text(&open).receive_line(), "UP 1");
         assert_eq!(heard.recv().unwrap().0, "b");
     }
 }
@@ -306,30 +312,30 @@
 /// Guards against ends that are not passed on the way they came, and lines lost behind them.
 #[test]
 fn a_client_that_ends_its_sending_still_gets_what_its_instance_has_to_say() {
-    let late = instance(|mut peer| {
-        peer.hear();
-        peer.say("UP 1\r\n");
-        assert_eq!(peer.hear(), "last");
-        assert_eq!(peer.hear(), "END");
-        peer.say("last\r\nBYE\r\n");
+    let late = spawn_instance(|mut peer| {
+        peer.receive_line();
+        peer.send_text("UP 1\r\n");
+        assert_eq!(peer.receive_line(), "last");
+        assert_eq!(peer.receive_line(), "END");
+        peer.send_text("last\r\nBYE\r\n");
     });
-    let list = [entry("s-00000001", late, "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let mut client = balancer.client();
-    assert_eq!(client.say("OPEN 1 2 c=watch,d=2000\r\n").hear(), "UP 1");
-    client.say("last\r\n").stream.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(client.rest(), "last\r\nBYE\r\n");
+    let list = [list_entry("s-00000001", late, "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let mut client = balancer.connect_client();
+    assert_eq!(client.send_text("OPEN 1 2 c=watch,d=2000\r\n").receive_line(), "UP 1");
+    client.send_text("last\r\n").stream.shutdown(std::net::Shutdown::Write).unwrap();
+    assert_eq!(client.receive_rest(), "last\r\nBYE\r\n");
 }
 
 /// Guards against descriptors used up by connections that ask nothing, which would then fail at instances.
 #[test]
 fn when_no_descriptors_are_left_clients_are_nacked_and_later_ones_served_again() {
     let (told, _heard) = channel();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
+    let list = [list_entry("s-00000001", echo_instance("a", told), "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
     let open = |i| {
-        let mut client = balancer.client();
-        let answer = client.say(&format!("OPEN x{i} 2 c=watch,d=2000\r\n")).hear();
+        let mut client = balancer.connect_client();
+        let answer = client.send_text(&format!("OPEN x{i} 2 c=watch,d=2000\r\n")).receive_line();
         (client, answer)
     };
     let mut stand = Vec::new();
@@ -342,7 +348,7 @@
             }
         }
     }
-    assert!((DESCRIPTORS / 3..DESCRIPTORS / 2).contains(&stand.len()), "{}", stand.len());
+    assert!((DESCRIPTOR_LIMIT / 3..DESCRIPTOR_LIMIT / 2).contains(&stand.len()), "{}", stand.len());
     stand.clear();
     // It notices the ends in its own time.
     assert!((1000..2000).map(open).any(|(_, answer)| answer == "UP 1"));
@@ -352,30 +358,30 @@
 /// balancer that was restarted before is not let in again.
 #[test]
 fn at_the_end_clients_are_moved_between_two_lines_and_new_ones_still_answered() {
-    let half = instance(|mut peer| {
-        peer.hear();
-        peer.say("UP 1\r\n");
-        peer.hear();
-        peer.say("whole\r\nhal");
-        peer.hear();
+    let half = spawn_instance(|mut peer| {
+        peer.receive_line();
+        peer.send_text("UP 1\r\n");
+        peer.receive_line();
+        peer.send_text("whole\r\nhal");
+        peer.receive_line();
     });
-    let list = [entry("s-00000001", half, "ready")];
-    let mut balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let mut client = balancer.client();
-    assert_eq!(client.say("OPEN 1 2 c=watch,d=2000\r\n").hear(), "UP 1");
-    assert_eq!(client.say("go\r\n").hear(), "whole");
+    let list = [list_entry("s-00000001", half, "ready")];
+    let mut balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let mut client = balancer.connect_client();
+    assert_eq!(client.send_text("OPEN 1 2 c=watch,d=2000\r\n").receive_line(), "UP 1");
+    assert_eq!(client.send_text("go\r\n").receive_line(), "whole");
     let since = Instant::now();
     balancer.terminate();
-    balancer.logged("leaving");
-    let mut new = balancer.client();
-    assert_eq!(new.say("OPEN 3 4 c=watch,d=2000\r\n").hear(), "UP 1");
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.hear(), "END");
-    assert_eq!(new.hear(), "MOVE");
+    balancer.wait_for_log("leaving");
+    let mut new = balancer.connect_client();
+    assert_eq!(new.send_text("OPEN 3 4 c=watch,d=2000\r\n").receive_line(), "UP 1");
+    assert_eq!(client.receive_line(), "MOVE");
+    assert_eq!(client.receive_line(), "END");
+    assert_eq!(new.receive_line(), "MOVE");
     // The longest deadline is 2 s, and SIGKILL comes 0.7 s after it.
     assert!((1_000..2_400).contains(&since.elapsed().as_millis()), "{:?}", since.elapsed());
-    balancer.logged("left with 0 connections");
-    while balancer.runs() {
+    balancer.wait_for_log("left with 0 connections");
+    while balancer.is_running() {
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -383,27 +389,27 @@
 /// Guards against connections held to an instance that no longer does its work, and lines held back.
 #[test]
 fn an_instance_that_breaks_or_brings_nothing_back_is_left() {
-    let broken = instance(|mut peer| {
-        let first = peer.hear();
-        peer.say("UP 1\r\n");
+    let broken = spawn_instance(|mut peer| {
+        let first = peer.receive_line();
+        peer.send_text("UP 1\r\n");
         match first.contains("g=break") {
-            true => drop(peer.hear()),
+            true => drop(peer.receive_line()),
             // Reads and says nothing.
-            false => while !matches!(peer.hear().as_str(), "END" | "RESET") {},
+            false => while !matches!(peer.receive_line().as_str(), "END" | "RESET") {},
         }
     });
-    let list = [entry("s-00000001", broken, "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let mut silent = balancer.client();
-    assert_eq!(silent.say("OPEN 1 2 c=watch,d=2000,g=silent\r\n").hear(), "UP 1");
-    silent.say("hello\r\n");
+    let list = [list_entry("s-00000001", broken, "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let mut silent = balancer.connect_client();
+    assert_eq!(silent.send_text("OPEN 1 2 c=watch,d=2000,g=silent\r\n").receive_line(), "UP 1");
+    silent.send_text("hello\r\n");
     let since = Instant::now();
-    let mut breaks = balancer.client();
-    assert_eq!(breaks.say("OPEN 3 4 c=watch,d=2000,g=break\r\n").hear(), "UP 1");
-    breaks.say("hello\r\n");
-    assert!(matches!(breaks.hear().as_str(), "END" | "RESET"));
+    let mut breaks = balancer.connect_client();
+    assert_eq!(breaks.send_text("OPEN 3 4 c=watch,d=2000,g=break\r\n").receive_line(), "UP 1");
+    breaks.send_text("hello\r\n");
+    assert!(matches!(breaks.receive_line().as_str(), "END" | "RESET"));
     assert!(since.elapsed() < Duration::from_secs(1));
-    assert_eq!(silent.hear(), "MOVE");
+    assert_eq!(silent.receive_line(), "MOVE");
     // It may have stopped two seconds before the client spoke.
     assert!(since.elapsed() < Duration::from_secs(5));
 }
@@ -413,35 +419,36 @@
 #[test]
 fn a_connection_that_alone_has_stopped_is_moved_and_the_others_stay() {
     let (told, heard) = channel();
-    let mixed = instance(move |mut peer| {
-        let stops = peer.hear().starts_with("OPEN 0 ");
-        peer.say("UP 1\r\n");
+    let mixed = spawn_instance(move |mut peer| {
+        let stops = peer.receive_line().starts_with("OPEN 0 ");
+        peer.send_text("UP 1\r\n");
         loop {
-            match peer.hear() {
+            match peer.receive_line() {
                 end if matches!(end.as_str(), "END" | "RESET") => break,
-                line if !stops => drop(peer.say(&format!("{line}\r\n"))),
+                line if !stops => drop(peer.send_text(&format!("{line}\r\n"))),
                 _ => {}
             }
         }
         let _ = told.send(stops);
     });
-    let list = [entry("s-00000001", mixed, "ready"), entry("s-00000002", nobody(), "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
+    let list =
+        [list_entry("s-00000001", mixed, "ready"), list_entry("s-00000002", closed_address(), "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
     let open = |i| {
-        let mut client = balancer.client();
-        assert_eq!(client.say(&format!("OPEN {i} {i} c=watch,d=2000,g=7\r\n")).hear(), "UP 1");
+        let mut client = balancer.connect_client();
+        assert_eq!(client.send_text(&format!("OPEN {i} {i} c=watch,d=2000,g=7\r\n")).receive_line(), "UP 1");
         client
     };
-    let mut clients: Vec<Lines> = (0..6).map(open).collect();
+    let mut clients: Vec<LineConnection> = (0..6).map(open).collect();
     let since = Instant::now();
-    clients[0].say("anybody\r\n");
+    clients[0].send_text("anybody\r\n");
     for _ in 0..5 {
         for client in &mut clients[1..] {
-            assert_eq!(client.say("here\r\n").hear(), "here");
+            assert_eq!(client.send_text("here\r\n").receive_line(), "here");
         }
         std::thread::sleep(Duration::from_millis(500));
     }
-    assert_eq!(clients[0].hear(), "MOVE");
+    assert_eq!(clients[0].receive_line(), "MOVE");
     assert!(since.elapsed() < Duration::from_secs(4), "{:?}", since.elapsed());
     assert!(heard.recv().unwrap(), "it alone was ended");
     assert!(heard.try_recv().is_err());
@@ -455,9 +462,9 @@
     let slow: Arc<OnceLock<&str>> = Arc::default();
     let script = |name: &'static str| {
         let (told, slow) = (told.clone(), slow.clone());
-        instance(move |mut peer| {
-            let first = peer.hear();
-            peer.say("UP 1\r\nLOAD 40000.000\r\n");
+        spawn_instance(move |mut peer| {
+            let first = peer.receive_line();
+            peer.send_text("UP 1\r\nLOAD 40000.000\r\n");
             let is_slow = *slow.get_or_init(|| name) == name;
             if is_slow && first.starts_with("OPEN 0 ") {
                 // Once a second, on one connection.
@@ -465,20 +472,21 @@
                     std::thread::sleep(Duration::from_secs(1));
                 }
             }
-            peer.hear();
+            peer.receive_line();
             let _ = told.send(name);
         })
     };
-    let list = [entry("s-00000001", script("a"), "ready"), entry("s-00000002", script("b"), "ready")];
+    let list =
+        [list_entry("s-00000001", script("a"), "ready"), list_entry("s-00000002", script("b"), "ready")];
     let aims = "\"FamilyInfo\":{\"MessageAimMs\":[150.0],\"TellsDelay\":true},\"Classes\"";
     let settings = SETTINGS.replace("\"Classes\"", aims);
-    let balancer = Balancer::with(&Discovery::quiet(), &list, None, &settings, "text");
+    let balancer = Balancer::start_with(&Discovery::without_updates(), &list, None, &settings, "text");
     let stand = |i| {
-        let mut client = balancer.client();
-        assert_eq!(client.say(&format!("OPEN {i} {i} c=watch,d=2000,g=7\r\n")).hear(), "UP 1");
+        let mut client = balancer.connect_client();
+        assert_eq!(client.send_text(&format!("OPEN {i} {i} c=watch,d=2000,g=7\r\n")).receive_line(), "UP 1");
         client
     };
-    let _clients: Vec<Lines> = (0..8).map(stand).collect();
+    let _clients: Vec<LineConnection> = (0..8).map(stand).collect();
     assert_eq!(heard.recv_timeout(Duration::from_secs(10)).unwrap(), *slow.get().unwrap());
 }
 
@@ -487,9 +495,9 @@
 fn a_client_that_does_not_read_holds_its_instance_back_and_loses_nothing() {
     const LINES: usize = 20_000;
     let (told, heard) = channel();
-    let flood = instance(move |mut peer| {
-        peer.hear();
-        peer.say("UP 1\r\n");
+    let flood = spawn_instance(move |mut peer| {
+        peer.receive_line();
+        peer.send_text("UP 1\r\n");
         let line = format!("{}\r\n", "x".repeat(1000));
         for _ in 0..LINES {
             if peer.stream.write_all(line.as_bytes()).is_err() {
@@ -497,14 +505,14 @@
             }
         }
         let _ = told.send(());
-        peer.say("BYE\r\n");
+        peer.send_text("BYE\r\n");
     });
-    let list = [entry("s-00000001", flood, "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let mut client = balancer.client();
-    assert_eq!(client.say("OPEN 1 2 c=watch,d=2000\r\n").hear(), "UP 1");
+    let list = [list_entry("s-00000001", flood, "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, None);
+    let mut client = balancer.connect_client();
+    assert_eq!(client.send_text("OPEN 1 2 c=watch,d=2000\r\n").receive_line(), "UP 1");
     assert!(heard.recv_timeout(Duration::from_millis(300)).is_err(), "20 MB fit in no buffer");
-    let all = client.rest();
+    let all = client.receive_rest();
     assert_eq!(all.lines().filter(|line| line.len() == 1000).count(), LINES);
     assert!(all.ends_with("BYE\r\n"));
 }
@@ -513,13 +521,13 @@
 /// only its own watch fell silent: discovery that goes down ends its watches.
 #[test]
 fn a_watch_that_falls_silent_is_had_again_at_once() {
-    let discovery = Discovery::quiet();
+    let discovery = Discovery::without_updates();
     let settings = SETTINGS.replace("\"PeersTotal\":1", "\"PeersTotal\":300");
-    let list = [entry("s-00000001", nobody(), "ready")];
-    let _balancer = Balancer::with(&discovery, &list, None, &settings, "text");
-    assert!(discovery.called().contains("watch=1&from=1"));
+    let list = [list_entry("s-00000001", closed_address(), "ready")];
+    let _balancer = Balancer::start_with(&discovery, &list, None, &settings, "text");
+    assert!(discovery.next_request().contains("watch=1&from=1"));
     let begun = Instant::now();
-    assert!(discovery.called().contains("watch=1&from=1"));
+    assert!(discovery.next_request().contains("watch=1&from=1"));
     let took = begun.elapsed();
     assert!(took > Duration::from_secs(4) && took < Duration::from_millis(5_500), "{took:?}");
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -15,32 +15,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const HANG: Duration = Duration::from_secs(20);
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A connection read line by line.
-pub struct Lines {
+pub struct LineConnection {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
-impl Lines {
-    pub fn new(stream: TcpStream) -> Lines {
-        stream.set_read_timeout(Some(HANG)).unwrap();
+impl LineConnection {
+    pub fn new(stream: TcpStream) -> LineConnection {
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Lines { reader: BufReader::new(stream.try_clone().unwrap()), stream }
+        LineConnection { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
-    pub fn to(address: SocketAddr) -> Lines {
-        Lines::new(TcpStream::connect(address).unwrap())
+    pub fn connect(address: SocketAddr) -> LineConnection {
+        LineConnection::new(TcpStream::connect(address).unwrap())
     }
 
-    pub fn say(&mut self, text: &str) -> &mut Lines {
+    pub fn send_text(&mut self, text: &str) -> &mut LineConnection {
         self.stream.write_all(text.as_bytes()).unwrap();
         self
     }
 
     /// The next line without its end; `END` when the other side has ended.
-    pub fn hear(&mut self) -> String {
+    pub fn receive_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => "END".into(),
@@ -51,7 +51,7 @@
     }
 
     /// Reads until the text has come; all that came.
-    pub fn until(&mut self, text: &str) -> String {
+    pub fn receive_until(&mut self, text: &str) -> String {
         let mut all = Vec::new();
         while !String::from_utf8_lossy(&all).contains(text) {
             let mut byte = [0];
@@ -65,7 +65,7 @@
     }
 
     /// All until the end.
-    pub fn rest(&mut self) -> String {
+    pub fn receive_rest(&mut self) -> String {
         let mut all = String::new();
         let _ = self.reader.read_to_string(&mut all);
         all
@@ -73,38 +73,38 @@
 }
 
 /// An instance: each connection runs the script in a thread of its own.
-pub fn instance(script: impl Fn(Lines) + Send + Sync + 'static) -> SocketAddr {
+pub fn spawn_instance(script: impl Fn(LineConnection) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let script = Arc::new(script);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let script = script.clone();
-            thread::spawn(move || script(Lines::new(stream)));
+            thread::spawn(move || script(LineConnection::new(stream)));
         }
     });
     address
 }
 
 /// An instance that reports each first line and says `UP`, then sends every line back until `quit`.
-pub fn echo(name: &'static str, told: Sender<(&'static str, String)>) -> SocketAddr {
-    instance(move |mut peer| {
-        let first = peer.hear();
+pub fn echo_instance(name: &'static str, told: Sender<(&'static str, String)>) -> SocketAddr {
+    spawn_instance(move |mut peer| {
+        let first = peer.receive_line();
         if first == "PING" {
-            peer.say("PONG\r\n");
+            peer.send_text("PONG\r\n");
             return;
         }
         let _ = told.send((name, first));
-        peer.say("UP 1\r\n");
+        peer.send_text("UP 1\r\n");
         loop {
-            match peer.hear().as_str() {
+            match peer.receive_line().as_str() {
                 "END" | "RESET" => return,
                 "quit" => {
-                    peer.say("BYE\r\n");
+                    peer.send_text("BYE\r\n");
                     return;
                 }
                 line => {
-                    peer.say(&format!("{line}\r\n"));
+                    peer.send_text(&format!("{line}\r\n"));
                 }
             }
         }
@@ -112,23 +112,23 @@
 }
 
 /// An instance that may have run what it was sent, and says no more than that.
-pub fn failing(told: Sender<String>) -> SocketAddr {
-    instance(move |mut peer| {
-        let first = peer.hear();
+pub fn failing_instance(told: Sender<String>) -> SocketAddr {
+    spawn_instance(move |mut peer| {
+        let first = peer.receive_line();
         if first.starts_with("OPEN") {
             let _ = told.send(first);
-            peer.say("ERR\r\n");
+            peer.send_text("ERR\r\n");
         }
-        peer.rest();
+        peer.receive_rest();
     })
 }
 
 /// An instance that tells of each first line and says what it is told to, and tells how its connection went on.
-pub fn held(told: Sender<String>) -> (SocketAddr, Sender<&'static str>) {
+pub fn scripted_instance(told: Sender<String>) -> (SocketAddr, Sender<&'static str>) {
     let (say, said) = channel::<&'static str>();
     let said: Arc<Mutex<Receiver<&'static str>>> = Arc::new(Mutex::new(said));
-    let address = instance(move |mut peer| {
-        let first = peer.hear();
+    let address = spawn_instance(move |mut peer| {
+        let first = peer.receive_line();
         if !first.starts_with("OPEN") {
             return;
         }
@@ -136,7 +136,7 @@
         let Ok(answer) = said.lock().unwrap().recv() else { return };
         let _ = peer.stream.write_all(answer.as_bytes());
         loop {
-            let line = peer.hear();
+            let line = peer.receive_line();
             let ends = matches!(line.as_str(), "END" | "RESET");
             let _ = peer.stream.write_all(format!("{line}\r\n").as_bytes());
             let _ = told.send(format!("then {line}"));
@@ -149,19 +149,19 @@
 }
 
 /// A listener that takes nobody until it is opened: the queue of those that wait is full.
-pub struct Shut {
+pub struct FullListener {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
-impl Shut {
-    pub fn new() -> Shut {
+impl FullListener {
+    pub fn new() -> FullListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
         socket.listen(0).unwrap();
         let listener: TcpListener = socket.into();
         let fillers = vec![TcpStream::connect(listener.local_addr().unwrap()).unwrap()];
-        Shut { listener, fillers }
+        FullListener { listener, fillers }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -169,7 +169,7 @@
     }
 
     /// Waits until somebody dials: the kernel lists a connection to this port that is not up.
-    pub fn dialled(&self) {
+    pub fn wait_for_dial(&self) {
         let port = format!(":{:04X} ", self.address().port());
         let dials = |line: &str| line.split_whitespace().nth(3) == Some("02") && line.contains(&port);
         while !std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(dials) {
@@ -178,28 +178,28 @@
     }
 
     /// Takes those that wait, and the one that dialled: its next try comes up within a second or two.
-    pub fn open(&self) -> Lines {
+    pub fn accept_pending(&self) -> LineConnection {
         for _ in &self.fillers {
             self.listener.accept().unwrap();
         }
-        Lines::new(self.listener.accept().unwrap().0)
+        LineConnection::new(self.listener.accept().unwrap().0)
     }
 }
 
 /// An address on which nothing listens.
-pub fn nobody() -> SocketAddr {
+pub fn closed_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
 /// One entry of the list.
-pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
+pub fn list_entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":0,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
 /// A line of the watch.
-pub fn listing(index: u64, entries: &[String]) -> String {
+pub fn watch_line(index: u64, entries: &[String]) -> String {
     format!("{{\"index\":{index},\"snapshot\":{},\"endpoints\":[{}]}}\n", index == 1, entries.join(","))
 }
 
@@ -207,13 +207,13 @@
 /// each call; what is sent through `push` goes to the newest watch as chunks.
 pub struct Discovery {
     pub address: SocketAddr,
-    pub calls: Receiver<String>,
+    pub requests: Receiver<String>,
     watch: Arc<Mutex<Option<TcpStream>>>,
 }
 
-pub const OK: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const CHUNKED_RESPONSE: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-pub fn chunk(text: &str) -> String {
+pub fn http_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
@@ -221,77 +221,77 @@
     pub fn new(scripts: Vec<String>) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (told, calls) = channel();
+        let (told, requests) = channel();
         let watch: Arc<Mutex<Option<TcpStream>>> = Arc::default();
         let kept = watch.clone();
         thread::spawn(move || {
             for (i, stream) in listener.incoming().flatten().enumerate() {
-                let mut peer = Lines::new(stream);
-                let call = peer.hear();
-                while !matches!(peer.hear().as_str(), "" | "END" | "RESET") {}
+                let mut peer = LineConnection::new(stream);
+                let call = peer.receive_line();
+                while !matches!(peer.receive_line().as_str(), "" | "END" | "RESET") {}
                 let script = &scripts[i.min(scripts.len() - 1)];
                 let _ = peer.stream.write_all(script.as_bytes());
-                if script.starts_with(OK) {
+                if script.starts_with(CHUNKED_RESPONSE) {
                     *kept.lock().unwrap() = Some(peer.stream.try_clone().unwrap());
                 }
                 let _ = told.send(call);
             }
         });
-        Discovery { address, calls, watch }
+        Discovery { address, requests, watch }
     }
 
     /// One that has nothing to tell beyond the list that the program starts with.
-    pub fn quiet() -> Discovery {
-        Discovery::new(vec![OK.to_string() + &chunk("\n")])
+    pub fn without_updates() -> Discovery {
+        Discovery::new(vec![CHUNKED_RESPONSE.to_string() + &http_chunk("\n")])
     }
 
-    pub fn called(&self) -> String {
-        self.calls.recv_timeout(HANG).expect("a call")
+    pub fn next_request(&self) -> String {
+        self.requests.recv_timeout(HANG_TIMEOUT).expect("a call")
     }
 
     pub fn push(&self, line: &str) {
         let mut watch = self.watch.lock().unwrap();
-        watch.as_mut().unwrap().write_all(chunk(line).as_bytes()).unwrap();
+        watch.as_mut().unwrap().write_all(http_chunk(line).as_bytes()).unwrap();
     }
 }
 
 /// The program.
 pub struct Balancer {
     child: Child,
-    pub lines: SocketAddr,
-    pub xmpp: Option<SocketAddr>,
+    pub line_address: SocketAddr,
+    pub xmpp_address: Option<SocketAddr>,
     /// The operators' door, where it was started with one.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     log: Receiver<String>,
     dir: PathBuf,
 }
 
 /// The descriptors that the program is told it may use.
-pub const DESCRIPTORS: usize = 512;
+pub const DESCRIPTOR_LIMIT: usize = 512;
 
 /// How it is started.
-pub struct Start<'a> {
+pub struct StartOptions<'a> {
     pub program: &'a Path,
     pub operator: Option<&'a str>,
     pub settings: &'a str,
     pub log_format: &'a str,
-    pub door: bool,
-    pub socket: Option<&'a TcpListener>,
+    pub with_admin: bool,
+    pub inherited_socket: Option<&'a TcpListener>,
     /// The folder that an older and a newer process share.
-    pub folder: Option<&'a Path>,
+    pub temp_folder: Option<&'a Path>,
 }
 
-impl Default for Start<'_> {
+impl Default for StartOptions<'_> {
     fn default() -> Self {
         let program = Path::new(env!("CARGO_BIN_EXE_oakdeal"));
-        Start {
+        StartOptions {
             program,
             operator: None,
             settings: SETTINGS,
             log_format: "text",
-            door: false,
-            socket: None,
-            folder: None,
+            with_admin: false,
+            inherited_socket: None,
+            temp_folder: None,
         }
     }
 }
@@ -302,7 +302,7 @@
   "PolicyLimits":{"SendCap":4,"ConnectTimeoutMs":500,"RetryAfter":true,"MaxRetryAfterMs":2000}}"#;
 
 /// Settings that give a dial its time.
-pub fn patient() -> String {
+pub fn settings_with_long_connect_timeout() -> String {
     SETTINGS
         .replace("\"ConnectTimeoutMs\":500", "\"ConnectTimeoutMs\":8000")
         .replace("\"AimMs\":800", "\"AimMs\":9000")
@@ -311,53 +311,79 @@
 impl Balancer {
     /// Starts it with this list, and an operator's file where there is one.
     pub fn start(discovery: &Discovery, known: &[String], operator: Option<&str>) -> Balancer {
-        Balancer::with(discovery, known, operator, SETTINGS, "text")
+        Balancer::start_with(discovery, known, operator, SETTINGS, "text")
     }
 
-    pub fn with(
+    pub fn start_with(
         discovery: &Discovery,
         known: &[String],
         operator: Option<&str>,
         settings: &str,
         log_format: &str,
     ) -> Balancer {
-        Balancer::launch(discovery, known, Start { operator, settings, log_format, ..Start::default() }).up()
+        Balancer::launch(
+            discovery,
+            known,
+            StartOptions { operator, settings, log_format, ..StartOptions::default() },
+        )
+        .wait_until_serving()
     }
 
     /// One with a door for operators.
-    pub fn operated(discovery: &Discovery, known: &[String], operator: Option<&str>) -> Balancer {
-        Balancer::launch(discovery, known, Start { operator, door: true, ..Start::default() }).up()
+    pub fn start_with_admin(discovery: &Discovery, known: &[String], operator: Option<&str>) -> Balancer {
+        Balancer::launch(
+            discovery,
+            known,
+            StartOptions { operator, with_admin: true, ..StartOptions::default() },
+        )
+        .wait_until_serving()
     }
 
     /// One with a door, which takes its clients from a socket that it inherits.
-    pub fn beside(discovery: &Discovery, known: &[String], socket: &TcpListener) -> Balancer {
-        Balancer::launch(discovery, known, Start { door: true, socket: Some(socket), ..Start::default() })
+    pub fn launch_with_socket(discovery: &Discovery, known: &[String], socket: &TcpListener) -> Balancer {
+        Balancer::launch(
+            discovery,
+            known,
+            StartOptions { with_admin: true, inherited_socket: Some(socket), ..StartOptions::default() },
+        )
     }
 
     /// Says a line at the operators' door; all that it answers.
-    pub fn call(&self, line: &str) -> String {
-        Lines::to(self.admin.unwrap()).say(line).rest()
+    pub fn admin_command(&self, line: &str) -> String {
+        LineConnection::connect(self.admin_address.unwrap()).send_text(line).receive_rest()
     }
 
     /// Starts it and waits for nothing.
-    pub fn launch(discovery: &Discovery, known: &[String], start: Start) -> Balancer {
+    pub fn launch(discovery: &Discovery, known: &[String], start: StartOptions) -> Balancer {
         let (mut command, dir) = Balancer::command(discovery, known, &start, None);
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let (told, log) = channel();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| told.send(line)));
-        let mut balancer = Balancer { child, lines: nobody(), xmpp: None, admin: None, log, dir };
-        if start.door {
-            balancer.admin = Some(balancer.address("n0 answers operators on "));
+        let mut balancer = Balancer {
+            child,
+            line_address: closed_address(),
+            xmpp_address: None,
+            admin_address: None,
+            log,
+            dir,
+        };
+        if start.with_admin {
+            balancer.admin_address = Some(balancer.logged_address("n0 answers operators on "));
         }
         if start.operator.is_some_and(|text| text.contains("[xmpp]")) {
-            balancer.xmpp = Some(balancer.address("n0 serves XMPP on "));
+            balancer.xmpp_address = Some(balancer.logged_address("n0 serves XMPP on "));
         }
         balancer
     }
 
     /// Starts it with this text for `LB_FD` and this as descriptor 5, and expects it to end: what it said.
-    pub fn refuses(discovery: &Discovery, start: Start, text: &str, pass: Option<OwnedFd>) -> String {
+    pub fn start_failure(
+        discovery: &Discovery,
+        start: StartOptions,
+        text: &str,
+        pass: Option<OwnedFd>,
+    ) -> String {
         let (mut command, dir) = Balancer::command(discovery, &[], &start, pass);
         let out = command.env("LB_FD", text).output().unwrap();
         std::fs::remove_dir_all(dir).unwrap();
@@ -368,20 +394,20 @@
     fn command(
         discovery: &Discovery,
         known: &[String],
-        start: &Start,
+        start: &StartOptions,
         pass: Option<OwnedFd>,
     ) -> (Command, PathBuf) {
         static STARTED: AtomicUsize = AtomicUsize::new(0);
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("oakdeal-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
-        let listen = start.socket.map(|socket| socket.local_addr().unwrap().to_string());
+        let listen = start.inherited_socket.map(|socket| socket.local_addr().unwrap().to_string());
         let listen = listen.unwrap_or("127.0.0.1:0".into());
         let config = format!(
-            r#"{{"name":"n0","listen":"{listen}","discovery":"{}","seed":"1","limits":{{"sockets":{DESCRIPTORS}}},
+            r#"{{"name":"n0","listen":"{listen}","discovery":"{}","seed":"1","limits":{{"sockets":{DESCRIPTOR_LIMIT}}},
                 "known":{},"settings":{}}}"#,
             discovery.address,
-            listing(1, known),
+            watch_line(1, known),
             start.settings
         );
         std::fs::write(dir.join("config.json"), config).unwrap();
@@ -390,15 +416,15 @@
             std::fs::write(dir.join("oakdeal.toml"), text).unwrap();
             command.env("OAKDEAL_OPERATOR", dir.join("oakdeal.toml"));
         }
-        let socket = start.socket.map(|socket| socket.try_clone().unwrap().into());
+        let socket = start.inherited_socket.map(|socket| socket.try_clone().unwrap().into());
         if let Some(parent_fd) = pass.or(socket) {
             command.env("LB_FD", "5").fd_mappings(vec![FdMapping { parent_fd, child_fd: 5 }]).unwrap();
         }
-        if start.door {
+        if start.with_admin {
             command.env("LB_ADMIN", "127.0.0.1:0");
         }
         command.env_remove("TMPDIR");
-        if let Some(folder) = start.folder {
+        if let Some(folder) = start.temp_folder {
             command.env("TMPDIR", folder);
         }
         command.env("LB_CONFIG", dir.join("config.json")).env("OAKDEAL_LOG_FORMAT", start.log_format);
@@ -406,38 +432,38 @@
     }
 
     /// Its process.
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
     /// Waits until it takes clients.
-    pub fn up(mut self) -> Balancer {
-        self.lines = self.address("n0 serves ");
+    pub fn wait_until_serving(mut self) -> Balancer {
+        self.line_address = self.logged_address("n0 serves ");
         self
     }
 
-    fn address(&self, start: &str) -> SocketAddr {
-        let line = self.logged(start);
+    fn logged_address(&self, start: &str) -> SocketAddr {
+        let line = self.wait_for_log(start);
         let (_, rest) = line.split_once(start).unwrap();
         rest.split(|c: char| !c.is_ascii_digit() && c != '.' && c != ':').next().unwrap().parse().unwrap()
     }
 
     /// Puts another operator's file and has it read.
-    pub fn operate(&self, text: &str) {
+    pub fn reload_operator_file(&self, text: &str) {
         std::fs::write(self.dir.join("oakdeal.toml"), text).unwrap();
         self.signal("-HUP");
     }
 
     /// Ends it and gives all that is left of its log.
-    pub fn finish(mut self) -> Vec<String> {
+    pub fn terminate_and_read_log(mut self) -> Vec<String> {
         self.terminate();
         let _ = self.child.wait();
         self.log.iter().collect()
     }
 
     /// Waits for a line of the log.
-    pub fn logged(&self, text: &str) -> String {
-        let until = Instant::now() + HANG;
+    pub fn wait_for_log(&self, text: &str) -> String {
+        let until = Instant::now() + HANG_TIMEOUT;
         loop {
             let line = self.log.recv_timeout(until.saturating_duration_since(Instant::now()));
             let line = line.unwrap_or_else(|_| panic!("{text:?} was not logged"));
@@ -448,15 +474,15 @@
     }
 
     /// CPU time that it has used, at the kernel's hundred ticks a second.
-    pub fn cpu(&self) -> Duration {
+    pub fn cpu_time(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split(' ').collect();
         let ticks: u64 = fields[12..14].iter().map(|ticks| ticks.parse::<u64>().unwrap()).sum();
         Duration::from_millis(10 * ticks)
     }
 
-    pub fn client(&self) -> Lines {
-        Lines::to(self.lines)
+    pub fn connect_client(&self) -> LineConnection {
+        LineConnection::connect(self.line_address)
     }
 
     pub fn terminate(&self) {
@@ -469,7 +495,7 @@
     }
 
     /// Puts another text for its configuration and has it read.
-    pub fn reload(&self, change: impl FnOnce(String) -> String) {
+    pub fn reload_config(&self, change: impl FnOnce(String) -> String) {
         let path = self.dir.join("config.json");
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(path, change(text)).unwrap();
@@ -477,7 +503,7 @@
     }
 
     /// Whether it runs still.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 }
--- a/tests/rebalance.rs
+++ b/tests/rebalance.rs
@@ -216,26 +216,31 @@
 fn connections_return_home_when_their_server_is_back_and_stay_when_rebalancing_is_off() {
     let run = |on: bool| -> (usize, usize) {
         let (sender, receiver) = channel();
-        let (a, b) = (echo("a", sender.clone()), echo("b", sender));
+        let (a, b) = (echo_instance("a", sender.clone()), echo_instance("b", sender));
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
-        let back =
-            entry("s-00000002", b, "ready").replace("\"since_ms\":0", &format!("\"since_ms\":{}", unix - 1));
-        let discovery =
-            Discovery::new(vec![OK.to_string() + &chunk(&listing(1, &[entry("s-00000001", a, "ready")]))]);
+        let back = list_entry("s-00000002", b, "ready")
+            .replace("\"since_ms\":0", &format!("\"since_ms\":{}", unix - 1));
+        let discovery = Discovery::new(vec![
+            CHUNKED_RESPONSE.to_string()
+                + &http_chunk(&watch_line(1, &[list_entry("s-00000001", a, "ready")])),
+        ]);
         let operator = format!("[rebalance]\non = {on}\nrate = 200.0\nyoung = \"100ms\"\n");
-        let list = [entry("s-00000001", a, "ready")];
+        let list = [list_entry("s-00000001", a, "ready")];
         let balancer = Balancer::start(&discovery, &list, Some(&operator));
-        discovery.called();
-        let mut clients: Vec<Lines> = (0..40)
+        discovery.next_request();
+        let mut clients: Vec<LineConnection> = (0..40)
             .map(|i| {
-                let mut client = balancer.client();
-                assert_eq!(client.say(&format!("OPEN {i} k{i} c=watch,d=2000\r\n")).hear(), "UP 1");
+                let mut client = balancer.connect_client();
+                assert_eq!(
+                    client.send_text(&format!("OPEN {i} k{i} c=watch,d=2000\r\n")).receive_line(),
+                    "UP 1"
+                );
                 client
             })
             .collect();
         assert!(receiver.try_iter().all(|(name, _)| name == "a"));
-        discovery.push(&listing(2, &[back]));
-        balancer.logged("instance s-00000002");
+        discovery.push(&watch_line(2, &[back]));
+        balancer.wait_for_log("instance s-00000002");
         // Each client that is asked to move reconnects at once and reaches its home; the others stay connected.
         let (end, mut moved) = (Instant::now() + Duration::from_secs(4), 0);
         for client in &clients {
@@ -248,12 +253,15 @@
                 match client.stream.peek(&mut byte) {
                     Ok(0) => panic!("the connection was closed without a MOVE"),
                     Ok(_) => {
-                        assert_eq!((client.hear(), client.hear()), ("MOVE".into(), "END".into()));
+                        assert_eq!(
+                            (client.receive_line(), client.receive_line()),
+                            ("MOVE".into(), "END".into())
+                        );
                         moved += 1;
                         next += 1;
-                        *client = balancer.client();
+                        *client = balancer.connect_client();
                         let open = format!("OPEN {next} k{i} c=watch,d=2000,again=1\r\n");
-                        assert_eq!(client.say(&open).hear(), "UP 1");
+                        assert_eq!(client.send_text(&open).receive_line(), "UP 1");
                         client.stream.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
                     }
                     Err(_) => {}
--- a/tests/relay/mod.rs
+++ b/tests/relay/mod.rs
@@ -10,7 +10,7 @@
 pub use checker::{check, Act};
 use link::{free, relay, Way};
 
-use super::peers::{entry, listing, Discovery, Lines, SETTINGS};
+use super::peers::{list_entry, watch_line, Discovery, LineConnection, SETTINGS};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
@@ -23,8 +23,8 @@
 
 struct Process {
     child: Option<Child>,
-    admin: Option<SocketAddr>,
-    lines: Option<SocketAddr>,
+    admin_address: Option<SocketAddr>,
+    line_address: Option<SocketAddr>,
 }
 
 /// The group.
@@ -32,35 +32,35 @@
     dir: PathBuf,
     discovery: Discovery,
     instance: SocketAddr,
-    ways: Vec<Vec<Arc<Way>>>,
-    over: Arc<AtomicBool>,
+    links: Vec<Vec<Arc<Way>>>,
+    stopped: Arc<AtomicBool>,
     processes: Vec<Process>,
     /// All that all have logged: who, and what.
     log: Arc<Mutex<Vec<(usize, String)>>>,
-    rates: Vec<f64>,
-    format: &'static str,
+    clock_rates: Vec<f64>,
+    log_format: &'static str,
     /// By how much each write of a voter is late, in milliseconds.
-    pub write_delay: u64,
+    pub write_delay_ms: u64,
 }
 
 /// A lease's span, in milliseconds.
-pub const SPAN: u64 = 1_500;
-const HANG: Duration = Duration::from_secs(30);
+pub const LEASE_SPAN_MS: u64 = 1_500;
+const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Group {
     /// So many processes, the first three of which vote.
-    pub fn start(name: &str, n: usize, instance: SocketAddr, rates: &[f64]) -> Group {
-        Group::with(name, n, instance, rates, "", "text")
+    pub fn start(name: &str, process_count: usize, instance: SocketAddr, clock_rates: &[f64]) -> Group {
+        Group::start_with(name, process_count, instance, clock_rates, "", "text")
     }
 
     /// With more in the operator's file, and a log in this format.
-    pub fn with(
+    pub fn start_with(
         name: &str,
-        n: usize,
+        process_count: usize,
         instance: SocketAddr,
-        rates: &[f64],
-        more: &str,
-        format: &'static str,
+        clock_rates: &[f64],
+        extra_operator_text: &str,
+        log_format: &'static str,
     ) -> Group {
         let dir = std::env::temp_dir().join(format!("oakdeal-group-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
@@ -68,55 +68,67 @@
         let key = dir.join("key");
         std::fs::write(&key, "a key for tests, and nothing else\n").unwrap();
         std::fs::set_permissions(&key, PermissionsExt::from_mode(0o600)).unwrap();
-        let at: Vec<SocketAddr> = (0..n).map(|_| free()).collect();
-        let over = Arc::new(AtomicBool::new(false));
-        let mut ways = Vec::new();
-        for i in 0..n {
+        let addresses: Vec<SocketAddr> = (0..process_count).map(|_| free()).collect();
+        let stopped = Arc::new(AtomicBool::new(false));
+        let mut links = Vec::new();
+        for i in 0..process_count {
             let (mut row, mut members) = (Vec::new(), String::new());
-            for (j, to) in at.iter().enumerate() {
+            for (j, to) in addresses.iter().enumerate() {
                 let (socket, way) = (UdpSocket::bind("127.0.0.1:0").unwrap(), Arc::new(Way::default()));
                 members +=
                     &format!("n{j} = \"{}\"\n", if i == j { *to } else { socket.local_addr().unwrap() });
                 row.push(way.clone());
-                let (to, over) = (*to, over.clone());
-                thread::spawn(move || relay(socket, to, way, over, (i * 64 + j) as u64));
+                let (to, stopped) = (*to, stopped.clone());
+                thread::spawn(move || relay(socket, to, way, stopped, (i * 64 + j) as u64));
             }
-            ways.push(row);
+            links.push(row);
             let folder = dir.join(format!("folder-{i}"));
             let text = format!(
                 "[group]\nlisten = \"{}\"\nkey = {key:?}\nzone = \"z{}\"\nregion = \"r\"\nvoters = [\"n0\", \"n1\", \"n2\"]\n\
-                 folder = {folder:?}\nprobe = \"200ms\"\nspan = \"{SPAN}ms\"\ndrift = 0.02\nturn = \"60s\"\n[group.members]\n{members}{more}",
-                at[i],
+                 folder = {folder:?}\nprobe = \"200ms\"\nspan = \"{LEASE_SPAN_MS}ms\"\ndrift = 0.02\nturn = \"60s\"\n[group.members]\n{members}{extra_operator_text}",
+                addresses[i],
                 i % 3
             );
-            let file = dir.join(format!("n{i}.toml"));
-            std::fs::write(&file, text).unwrap();
+            let operator_path = dir.join(format!("n{i}.toml"));
+            std::fs::write(&operator_path, text).unwrap();
         }
-        let processes = (0..n).map(|_| Process { child: None, admin: None, lines: None }).collect();
-        let rates = (0..n).map(|i| rates.get(i).copied().unwrap_or(1.0)).collect();
-        let (discovery, log) = (Discovery::quiet(), Arc::default());
-        let write_delay = 0;
-        let mut group =
-            Group { dir, discovery, instance, ways, over, processes, log, rates, format, write_delay };
-        (0..3).for_each(|i| group.found(i, None));
-        (0..n).for_each(|i| group.run(i));
+        let processes = (0..process_count)
+            .map(|_| Process { child: None, admin_address: None, line_address: None })
+            .collect();
+        let clock_rates = (0..process_count).map(|i| clock_rates.get(i).copied().unwrap_or(1.0)).collect();
+        let (discovery, log) = (Discovery::without_updates(), Arc::default());
+        let write_delay_ms = 0;
+        let mut group = Group {
+            dir,
+            discovery,
+            instance,
+            links,
+            stopped,
+            processes,
+            log,
+            clock_rates,
+            log_format,
+            write_delay_ms,
+        };
+        (0..3).for_each(|i| group.create_voter_folder(i, None));
+        (0..process_count).for_each(|i| group.start_process(i));
         group
     }
 
     /// Makes a voter's folder: of a new group, or of one that takes another's place.
-    pub fn found(&self, i: usize, instead: Option<usize>) {
-        let mut found = Command::new(env!("CARGO_BIN_EXE_oakdeal"));
-        found.args(["group", "found", "--name", &format!("n{i}"), "--operator"]);
-        found.arg(self.dir.join(format!("n{i}.toml")));
-        if let Some(other) = instead {
-            found.args(["--instead", &format!("n{other}")]);
+    pub fn create_voter_folder(&self, i: usize, replaced_voter: Option<usize>) {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_oakdeal"));
+        command.args(["group", "found", "--name", &format!("n{i}"), "--operator"]);
+        command.arg(self.dir.join(format!("n{i}.toml")));
+        if let Some(other) = replaced_voter {
+            command.args(["--instead", &format!("n{other}")]);
         }
-        let found = found.output().unwrap();
-        assert!(found.status.success(), "{}", String::from_utf8_lossy(&found.stderr));
+        let output = command.output().unwrap();
+        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     }
 
     /// A voter's folder.
-    pub fn folder(&self, i: usize) -> PathBuf {
+    pub fn voter_folder(&self, i: usize) -> PathBuf {
         self.dir.join(format!("folder-{i}"))
     }
 
@@ -126,11 +138,11 @@
     }
 
     /// Starts one, or starts it again with what it has kept.
-    pub fn run(&mut self, i: usize) {
+    pub fn start_process(&mut self, i: usize) {
         let config = format!(
             r#"{{"name":"n{i}","listen":"127.0.0.1:0","discovery":"{}","seed":"{i}","limits":{{"sockets":512}},"known":{},"settings":{SETTINGS}}}"#,
             self.discovery.address,
-            listing(1, &[entry("s-00000001", self.instance, "ready")]),
+            watch_line(1, &[list_entry("s-00000001", self.instance, "ready")]),
         );
         let path = self.dir.join(format!("n{i}.json"));
         std::fs::write(&path, config).unwrap();
@@ -138,28 +150,29 @@
             .env("LB_CONFIG", path)
             .env("LB_ADMIN", "127.0.0.1:0")
             .env("OAKDEAL_OPERATOR", self.dir.join(format!("n{i}.toml")))
-            .env("OAKDEAL_RIG_CLOCK_RATE", self.rates[i].to_string())
-            .env("OAKDEAL_RIG_WRITE_DELAY_MS", self.write_delay.to_string())
+            .env("OAKDEAL_RIG_CLOCK_RATE", self.clock_rates[i].to_string())
+            .env("OAKDEAL_RIG_WRITE_DELAY_MS", self.write_delay_ms.to_string())
             .env("RUST_LOG", "oakdeal=info,oakdeal::act=debug")
-            .env("OAKDEAL_LOG_FORMAT", self.format)
+            .env("OAKDEAL_LOG_FORMAT", self.log_format)
             .env_remove("TMPDIR")
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
         let (log, stderr) = (self.log.clone(), BufReader::new(child.stderr.take().unwrap()));
-        let from = self.log.lock().unwrap().len();
+        let log_start = self.log.lock().unwrap().len();
         thread::spawn(move || {
             stderr.lines().map_while(Result::ok).for_each(|line| log.lock().unwrap().push((i, line)))
         });
         self.processes[i].child = Some(child);
         let address = |what: &str| {
-            let line = self.logged(from, &|who, line| who == i && line.contains(what));
+            let line = self.wait_for_log(log_start, &|who, line| who == i && line.contains(what));
             let rest = line.split(what).nth(1).unwrap();
             rest.split(|c: char| !c.is_ascii_digit() && c != '.' && c != ':').next().unwrap().parse().unwrap()
         };
-        let (admin, lines) =
+        let (admin_address, line_address) =
             (address(&format!("n{i} answers operators on ")), address(&format!("n{i} serves ")));
-        (self.processes[i].admin, self.processes[i].lines) = (Some(admin), Some(lines));
+        (self.processes[i].admin_address, self.processes[i].line_address) =
+            (Some(admin_address), Some(line_address));
     }
 
     pub fn signal(&self, i: usize, name: &str) {
@@ -174,68 +187,72 @@
     }
 
     /// Each way from one of these to one of those.
-    pub fn ways(&self, from: &[usize], to: &[usize], change: impl Fn(&Way)) {
-        from.iter().for_each(|&i| to.iter().for_each(|&j| change(&self.ways[i][j])));
+    pub fn change_links(&self, from: &[usize], to: &[usize], change: impl Fn(&Way)) {
+        from.iter().for_each(|&i| to.iter().for_each(|&j| change(&self.links[i][j])));
     }
 
-    pub fn client(&self, i: usize) -> Lines {
-        Lines::to(self.processes[i].lines.unwrap())
+    pub fn connect_client(&self, i: usize) -> LineConnection {
+        LineConnection::connect(self.processes[i].line_address.unwrap())
     }
 
-    pub fn show(&self, i: usize) -> String {
-        Lines::to(self.processes[i].admin.unwrap()).say("GROUP\r\n").rest()
+    pub fn group_status(&self, i: usize) -> String {
+        LineConnection::connect(self.processes[i].admin_address.unwrap())
+            .send_text("GROUP\r\n")
+            .receive_rest()
     }
 
-    pub fn call(&self, i: usize, word: &str) -> String {
-        Lines::to(self.processes[i].admin.unwrap()).say(&format!("{word}\r\n")).rest()
+    pub fn admin_command(&self, i: usize, command: &str) -> String {
+        LineConnection::connect(self.processes[i].admin_address.unwrap())
+            .send_text(&format!("{command}\r\n"))
+            .receive_rest()
     }
 
     /// How many members this one sees.
-    pub fn sees(&self, i: usize) -> usize {
-        self.show(i).lines().filter(|line| line.starts_with("member ")).count()
+    pub fn visible_members(&self, i: usize) -> usize {
+        self.group_status(i).lines().filter(|line| line.starts_with("member ")).count()
     }
 
     /// How much has been logged.
-    pub fn mark(&self) -> usize {
+    pub fn log_length(&self) -> usize {
         self.log.lock().unwrap().len()
     }
 
     /// Waits for a line that was logged behind this mark.
-    pub fn logged(&self, mark: usize, wanted: &dyn Fn(usize, &str) -> bool) -> String {
-        let until = Instant::now() + HANG;
+    pub fn wait_for_log(&self, since: usize, wanted: &dyn Fn(usize, &str) -> bool) -> String {
+        let deadline = Instant::now() + HANG_TIMEOUT;
         loop {
-            let found = self.log.lock().unwrap()[mark..].iter().find(|(i, line)| wanted(*i, line)).cloned();
+            let found = self.log.lock().unwrap()[since..].iter().find(|(i, line)| wanted(*i, line)).cloned();
             match found {
                 Some((_, line)) => return line,
-                None => assert!(Instant::now() < until, "not logged; last: {:#?}", self.tail()),
+                None => assert!(Instant::now() < deadline, "not logged; last: {:#?}", self.last_log_lines()),
             }
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    fn tail(&self) -> Vec<(usize, String)> {
+    fn last_log_lines(&self) -> Vec<(usize, String)> {
         let log = self.log.lock().unwrap();
         let lines: Vec<_> = log.iter().filter(|(_, line)| !line.contains("oakdeal::act")).cloned().collect();
         lines[lines.len().saturating_sub(40)..].to_vec()
     }
 
-    pub fn until(&self, what: &str, done: impl Fn(&Group) -> bool) -> Duration {
-        let begun = Instant::now();
+    pub fn wait_until(&self, what: &str, done: impl Fn(&Group) -> bool) -> Duration {
+        let started = Instant::now();
         while !done(self) {
-            assert!(begun.elapsed() < HANG, "{what} did not come: {:#?}", self.tail());
+            assert!(started.elapsed() < HANG_TIMEOUT, "{what} did not come: {:#?}", self.last_log_lines());
             thread::sleep(Duration::from_millis(10));
         }
-        begun.elapsed()
+        started.elapsed()
     }
 
     /// Who takes the task next, behind this mark.
-    pub fn taken(&self, mark: usize) -> (usize, Duration) {
-        let begun = Instant::now();
-        self.logged(mark, &|_, line| line.contains("rebalance is ours under token"));
+    pub fn wait_for_lease_holder(&self, since: usize) -> (usize, Duration) {
+        let started = Instant::now();
+        self.wait_for_log(since, &|_, line| line.contains("rebalance is ours under token"));
         let log = self.log.lock().unwrap();
         let who =
-            log[mark..].iter().find(|(_, line)| line.contains("rebalance is ours under token")).unwrap().0;
-        (who, begun.elapsed())
+            log[since..].iter().find(|(_, line)| line.contains("rebalance is ours under token")).unwrap().0;
+        (who, started.elapsed())
     }
 
     /// All acts, as whoever acted and all who heard of it saw them.
@@ -247,7 +264,7 @@
 
 impl Drop for Group {
     fn drop(&mut self) {
-        self.over.store(true, Relaxed);
+        self.stopped.store(true, Relaxed);
         for child in self.processes.iter_mut().filter_map(|p| p.child.as_mut()) {
             let _ = child.kill();
             let _ = child.wait();
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -14,11 +14,11 @@
     let life = Duration::from_millis(900);
     let quiet = |team| Habit { life, ..habit(team, 20) };
     let run = |flood: usize| {
-        let balancer = Balancer::start(&Discovery::quiet(), &servers(), Some(&operator));
+        let balancer = Balancer::start(&Discovery::without_updates(), &servers(), Some(&operator));
         // The flooding clients retry after a tenth of a second at the latest, whatever retry-after they get.
         let flood = Habit { life, patience: Duration::from_millis(100), ..habit("south", flood) };
         let teams = [(0, quiet("north")), (0, quiet("east")), (300, flood)];
-        play(balancer.lines, &teams, Duration::from_secs(5), |_, _| ())
+        play(balancer.line_address, &teams, Duration::from_secs(5), |_, _| ())
     };
     let (without_flood, with_flood) = (run(0), run(200));
     for team in ["north", "east"] {
@@ -34,11 +34,12 @@
 #[test]
 fn idle_capacity_is_lent_and_returned_within_two_seconds_and_the_account_matches_the_clients() {
     let operator = contracts(60, &[("north", 20, ""), ("east", 20, ""), ("idle", 20, "")]);
-    let balancer = Balancer::with(&Discovery::quiet(), &servers(), Some(&operator), SETTINGS, "json");
+    let balancer =
+        Balancer::start_with(&Discovery::without_updates(), &servers(), Some(&operator), SETTINGS, "json");
     let mut lent = 0;
     let teams = [(0, habit("east", 20)), (0, habit("north", 200)), (2_500, habit("idle", 20))];
     let started = Instant::now();
-    let seen = play(balancer.lines, &teams, Duration::from_secs(6), |at, book| {
+    let seen = play(balancer.line_address, &teams, Duration::from_secs(6), |at, book| {
         if at < Duration::from_millis(2_400) {
             lent = book.borrow().get("north").map_or(0, |s| s.held);
         }
@@ -50,7 +51,7 @@
     assert!(seen.values().all(|s| s.cut == 0), "no connection was closed by force: {seen:?}");
     assert!(seen["north"].moved >= 18 && seen["east"].moved == 0 && seen["idle"].moved == 0, "{seen:?}");
     // All clients have left: the account must match their own counts.
-    let log = balancer.finish();
+    let log = balancer.terminate_and_read_log();
     let path = std::env::temp_dir().join(format!("oakdeal-account-{}.log", std::process::id()));
     std::fs::write(&path, log.join("\n")).unwrap();
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_oakdeal"));
@@ -83,31 +84,31 @@
 #[test]
 fn a_contract_reduced_under_load_is_in_force_within_two_seconds_and_a_broken_file_changes_nothing() {
     let file = |n| contracts(60, &[("north", n, "borrow = false"), ("east", 20, "")]);
-    let balancer = Balancer::start(&Discovery::quiet(), &servers(), Some(&file(40)));
+    let balancer = Balancer::start(&Discovery::without_updates(), &servers(), Some(&file(40)));
     let (mut cut, mut broken, mut held) = (None, false, Vec::new());
     let patience = Duration::from_millis(100);
     let teams = [(0, Habit { patience, ..habit("north", 100) }), (0, habit("east", 20))];
-    let seen = play(balancer.lines, &teams, Duration::from_secs(6), |at, book| {
+    let seen = play(balancer.line_address, &teams, Duration::from_secs(6), |at, book| {
         let north = book.borrow().get("north").map_or(0, |s| s.held);
         if at > Duration::from_secs(1) && cut.is_none() {
             assert_eq!(north, 40, "its contract");
-            balancer.operate(&file(10));
+            balancer.reload_operator_file(&file(10));
             cut = Some(at);
         }
         let since = cut.map_or(Duration::ZERO, |cut| at - cut);
         if since > Duration::from_secs(2) {
             held.push(north);
             if !std::mem::replace(&mut broken, true) {
-                balancer.operate("[[team]]\nname = \"north\"\nconections = 40\n");
+                balancer.reload_operator_file("[[team]]\nname = \"north\"\nconections = 40\n");
             }
         }
     });
     assert!(held.iter().all(|&n| n == 10) && held.len() > 10, "{held:?}");
     assert!(seen["north"].moved == 30 && seen.values().all(|s| s.cut == 0), "{seen:?}");
     assert_eq!((seen["east"].moved, seen["east"].busy), (0, 0), "{seen:?}");
-    let change = balancer.logged("contract changed");
+    let change = balancer.wait_for_log("contract changed");
     assert!(change.contains("north") && change.contains("40") && change.contains("10"), "{change}");
-    let refused = balancer.logged("operator's file not taken over, the old one stays in force");
+    let refused = balancer.wait_for_log("operator's file not taken over, the old one stays in force");
     assert!(refused.contains("oakdeal.toml:3:") && refused.contains("`conections`"), "{refused}");
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -13,7 +13,7 @@
 fn echoing() -> Vec<String> {
     let (told, _) = channel();
     let names = ["s-00000001", "s-00000002"];
-    names.map(|name| entry(name, echo(name, told.clone()), "ready")).to_vec()
+    names.map(|name| list_entry(name, echo_instance(name, told.clone()), "ready")).to_vec()
 }
 
 fn socket() -> (TcpListener, SocketAddr) {
@@ -23,7 +23,7 @@
 }
 
 fn ready(balancer: &Balancer) -> bool {
-    balancer.call("HEALTH\r\n").starts_with("200 ")
+    balancer.admin_command("HEALTH\r\n").starts_with("200 ")
 }
 
 fn await_ready(balancer: &Balancer) {
@@ -35,7 +35,7 @@
 
 fn await_end(balancer: &mut Balancer) {
     let until = Instant::now() + Duration::from_secs(20);
-    while balancer.runs() {
+    while balancer.is_running() {
         assert!(Instant::now() < until, "it does not end");
         thread::yield_now();
     }
@@ -56,15 +56,15 @@
             let (over, moved) = (over.clone(), moved.clone());
             thread::spawn(move || {
                 for again in 0.. {
-                    let mut client = Lines::to(at);
-                    client.say(&format!("OPEN {i}-{again} {i} c=watch,d=2000\r\n"));
-                    assert_eq!(client.hear(), "UP 1", "client {i}, connection {again}");
+                    let mut client = LineConnection::connect(at);
+                    client.send_text(&format!("OPEN {i}-{again} {i} c=watch,d=2000\r\n"));
+                    assert_eq!(client.receive_line(), "UP 1", "client {i}, connection {again}");
                     loop {
                         if over.load(Ordering::Relaxed) {
                             return;
                         }
-                        client.say("mine\r\n");
-                        match client.hear().as_str() {
+                        client.send_text("mine\r\n");
+                        match client.receive_line().as_str() {
                             "mine" => thread::sleep(Duration::from_millis(5)),
                             "MOVE" => break,
                             other => panic!("client {i}, connection {again}: {other}"),
@@ -90,26 +90,29 @@
 #[test]
 fn three_versions_in_a_row_lose_nobody() {
     let (socket, at) = socket();
-    let (discovery, list) = (Discovery::quiet(), echoing());
-    let mut serving = Balancer::beside(&discovery, &list, &socket);
+    let (discovery, list) = (Discovery::without_updates(), echoing());
+    let mut serving = Balancer::launch_with_socket(&discovery, &list, &socket);
     await_ready(&serving);
     let crowd = Crowd::come(at, 40);
     for _ in 0..3 {
-        let next = Balancer::beside(&discovery, &list, &socket);
+        let next = Balancer::launch_with_socket(&discovery, &list, &socket);
         await_ready(&next);
         assert!(ready(&serving), "the old one serves until it is told to end");
         serving.terminate();
         let begun = Instant::now();
-        let arrivals: Vec<Lines> = (0..20)
+        let arrivals: Vec<LineConnection> = (0..20)
             .map(|i| {
-                let mut client = Lines::to(at);
-                client.say(&format!("OPEN new-{}-{i} 7 c=watch,d=2000\r\n", serving.admin.unwrap().port()));
-                assert_eq!(client.hear(), "UP 1");
+                let mut client = LineConnection::connect(at);
+                client.send_text(&format!(
+                    "OPEN new-{}-{i} 7 c=watch,d=2000\r\n",
+                    serving.admin_address.unwrap().port()
+                ));
+                assert_eq!(client.receive_line(), "UP 1");
                 client
             })
             .collect();
         drop(arrivals);
-        serving.logged("left with 0 connections in hand");
+        serving.wait_for_log("left with 0 connections in hand");
         await_end(&mut serving);
         assert!(begun.elapsed() < Duration::from_millis(3_500), "{:?}", begun.elapsed());
         serving = next;
@@ -125,20 +128,20 @@
     let (socket, at) = socket();
     let list = echoing();
     // It answers the first watch and closes all others unanswered.
-    let discovery = Discovery::new(vec![OK.to_string() + &chunk("\n"), String::new()]);
+    let discovery = Discovery::new(vec![CHUNKED_RESPONSE.to_string() + &http_chunk("\n"), String::new()]);
     let (told, _) = channel();
-    let only_old = [entry("s-00000001", echo("a", told), "ready")];
-    let old = Balancer::beside(&discovery, &only_old, &socket).up();
+    let only_old = [list_entry("s-00000001", echo_instance("a", told), "ready")];
+    let old = Balancer::launch_with_socket(&discovery, &only_old, &socket).wait_until_serving();
     await_ready(&old);
-    let new = Balancer::beside(&discovery, &list, &socket);
+    let new = Balancer::launch_with_socket(&discovery, &list, &socket);
     assert!(!ready(&new), "discovery has told it nothing");
     let crowd = Crowd::come(at, 10);
     thread::sleep(Duration::from_millis(100));
     new.signal("-KILL");
     drop(new);
-    let mut late = Lines::to(at);
-    assert_eq!(late.say("OPEN late 1 c=watch,d=2000\r\n").hear(), "UP 1");
-    assert!(old.call("DUMP\r\n").contains("lb.completed.watch:11|c"), "the old one took them all");
+    let mut late = LineConnection::connect(at);
+    assert_eq!(late.send_text("OPEN late 1 c=watch,d=2000\r\n").receive_line(), "UP 1");
+    assert!(old.admin_command("DUMP\r\n").contains("lb.completed.watch:11|c"), "the old one took them all");
     assert_eq!(crowd.leave(), 0);
 }
 
@@ -147,13 +150,13 @@
 fn without_a_word_of_discovery_it_serves_by_the_list_that_it_was_given() {
     let (socket, at) = socket();
     let discovery = Discovery::new(vec![String::new()]);
-    let balancer = Balancer::beside(&discovery, &echoing(), &socket);
+    let balancer = Balancer::launch_with_socket(&discovery, &echoing(), &socket);
     // Who comes before it serves waits in the queue and is not lost.
-    let mut early = Lines::to(at);
-    early.say("OPEN early 1 c=watch,d=9000\r\n");
+    let mut early = LineConnection::connect(at);
+    early.send_text("OPEN early 1 c=watch,d=9000\r\n");
     await_ready(&balancer);
-    balancer.logged("discovery has told nothing yet");
-    assert_eq!(early.hear(), "UP 1");
+    balancer.wait_for_log("discovery has told nothing yet");
+    assert_eq!(early.receive_line(), "UP 1");
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -163,7 +166,12 @@
 }
 
 fn sharing(discovery: &Discovery, list: &[String], socket: &TcpListener, folder: &Path) -> Balancer {
-    let start = Start { door: true, socket: Some(socket), folder: Some(folder), ..Start::default() };
+    let start = StartOptions {
+        with_admin: true,
+        inherited_socket: Some(socket),
+        temp_folder: Some(folder),
+        ..StartOptions::default()
+    };
     Balancer::launch(discovery, list, start)
 }
 
@@ -171,59 +179,66 @@
 #[test]
 fn what_stands_is_handed_over_once_and_what_was_left_from_before_is_not_taken_up() {
     let ((socket, at), folder) = (socket(), folder("once"));
-    let (discovery, list) = (Discovery::quiet(), echoing());
+    let (discovery, list) = (Discovery::without_updates(), echoing());
     let file = folder.join("oakdeal-handover");
     std::fs::write(&file, "oakdeal-handover-0 from a crash").unwrap();
-    let mut old = sharing(&discovery, &list, &socket, &folder).up();
+    let mut old = sharing(&discovery, &list, &socket, &folder).wait_until_serving();
     assert!(!file.exists());
     await_ready(&old);
     std::fs::write(&file, "oakdeal-handover-1 0123456789abcdef\n{}").unwrap();
-    old.logged("is not whole: ignored");
-    let mut standing: Vec<Lines> = (0..5)
+    old.wait_for_log("is not whole: ignored");
+    let mut standing: Vec<LineConnection> = (0..5)
         .map(|i| {
-            let mut client = Lines::to(at);
-            assert_eq!(client.say(&format!("OPEN {i} {i} c=watch,d=2000,g=7\r\n")).hear(), "UP 1");
+            let mut client = LineConnection::connect(at);
+            assert_eq!(
+                client.send_text(&format!("OPEN {i} {i} c=watch,d=2000,g=7\r\n")).receive_line(),
+                "UP 1"
+            );
             client
         })
         .collect();
-    let new = sharing(&discovery, &list, &socket, &folder).up();
+    let new = sharing(&discovery, &list, &socket, &folder).wait_until_serving();
     await_ready(&new);
     old.terminate();
-    old.logged("handed over 5 connections");
-    new.logged("5 connections stand at the process before this one");
+    old.wait_for_log("handed over 5 connections");
+    new.wait_for_log("5 connections stand at the process before this one");
     for client in &mut standing {
-        assert_eq!(client.hear(), "MOVE");
+        assert_eq!(client.receive_line(), "MOVE");
     }
     await_end(&mut old);
     assert_eq!(std::fs::read_dir(&folder).unwrap().count(), 0, "nothing is left there");
     // A folder that cannot be written costs a warning and nothing else.
     std::fs::remove_dir(&folder).unwrap();
     new.terminate();
-    new.logged("nothing is handed over");
-    new.logged("left with 0 connections in hand");
+    new.wait_for_log("nothing is handed over");
+    new.wait_for_log("left with 0 connections in hand");
 }
 
 /// Guards against connections that wait in the queue with nobody to take them when no process comes after.
 #[test]
 fn a_plain_stop_takes_who_still_comes() {
     let (socket, at) = socket();
-    let mut balancer = Balancer::beside(&Discovery::quiet(), &echoing(), &socket).up();
+    let mut balancer =
+        Balancer::launch_with_socket(&Discovery::without_updates(), &echoing(), &socket).wait_until_serving();
     await_ready(&balancer);
     let crowd = Crowd::come(at, 5);
     thread::sleep(Duration::from_millis(50));
     balancer.terminate();
-    balancer.logged("leaving");
-    let mut late: Vec<Lines> = (0..10)
+    balancer.wait_for_log("leaving");
+    let mut late: Vec<LineConnection> = (0..10)
         .map(|i| {
-            let mut client = Lines::to(at);
-            assert_eq!(client.say(&format!("OPEN late-{i} {i} c=watch,d=2000\r\n")).hear(), "UP 1");
+            let mut client = LineConnection::connect(at);
+            assert_eq!(
+                client.send_text(&format!("OPEN late-{i} {i} c=watch,d=2000\r\n")).receive_line(),
+                "UP 1"
+            );
             thread::sleep(Duration::from_millis(20));
             client
         })
         .collect();
     crowd.leave();
     for client in &mut late {
-        assert_eq!((client.hear().as_str(), client.hear().as_str()), ("MOVE", "END"));
+        assert_eq!((client.receive_line().as_str(), client.receive_line().as_str()), ("MOVE", "END"));
     }
     await_end(&mut balancer);
 }
@@ -236,8 +251,8 @@
     let connected = TcpStream::connect(at).unwrap();
     let datagrams = UdpSocket::bind("127.0.0.1:0").unwrap();
     let start = |text: &str, pass: Option<std::os::fd::OwnedFd>, message: &str| {
-        let start = Start { socket: Some(&socket), ..Start::default() };
-        let errors = Balancer::refuses(&Discovery::quiet(), start, text, pass);
+        let start = StartOptions { inherited_socket: Some(&socket), ..StartOptions::default() };
+        let errors = Balancer::start_failure(&Discovery::without_updates(), start, text, pass);
         assert!(errors.contains("LB_FD: ") && errors.contains(message), "{text}: {errors}");
     };
     start("five", None, "\"five\" is no descriptor");
--- a/tests/xmpp.rs
+++ b/tests/xmpp.rs
@@ -27,32 +27,32 @@
 /// A server that takes a log-in, answers it so, and then sends each message back; it tells all that it hears.
 fn server(name: &'static str, answer: &str, told: Sender<(&'static str, String)>) -> SocketAddr {
     let answer = answer.to_string();
-    instance(move |mut peer| {
-        let head = peer.until("version='1.0'") + &peer.until(">");
-        peer.say(OPENING).say(FEATURES);
-        let login = peer.until("</auth>");
+    spawn_instance(move |mut peer| {
+        let head = peer.receive_until("version='1.0'") + &peer.receive_until(">");
+        peer.send_text(OPENING).send_text(FEATURES);
+        let login = peer.receive_until("</auth>");
         let _ = told.send((name, format!("{head}{login}")));
-        peer.say(&answer);
+        peer.send_text(&answer);
         if answer != SUCCESS {
-            let _ = told.send((name, peer.rest()));
+            let _ = told.send((name, peer.receive_rest()));
             return;
         }
-        let _ = peer.until("'http://etherx.jabber.org/streams'>");
-        peer.say(OPENING).say("<stream:features/>");
+        let _ = peer.receive_until("'http://etherx.jabber.org/streams'>");
+        peer.send_text(OPENING).send_text("<stream:features/>");
         loop {
-            let stanza = peer.until(">");
+            let stanza = peer.receive_until(">");
             if stanza.contains("</stream:stream>") {
                 let _ = told.send((name, stanza));
-                peer.say("</stream:stream>");
+                peer.send_text("</stream:stream>");
                 return;
             }
             if stanza.starts_with("<stream:error>") {
-                let _ = told.send((name, stanza + &peer.until("</stream:stream>")));
+                let _ = told.send((name, stanza + &peer.receive_until("</stream:stream>")));
                 return;
             }
-            let stanza = stanza + &peer.until(">");
+            let stanza = stanza + &peer.receive_until(">");
             let _ = told.send((name, stanza.clone()));
-            peer.say(&stanza);
+            peer.send_text(&stanza);
         }
     })
 }
@@ -67,18 +67,18 @@
 }
 
 /// Opens a stream and sends a log-in.
-fn log_in(balancer: &Balancer, user: &str) -> Lines {
-    let mut client = Lines::to(balancer.xmpp.unwrap());
-    client.say(OPENING).until("</stream:features>");
-    client.say(&auth(user));
+fn log_in(balancer: &Balancer, user: &str) -> LineConnection {
+    let mut client = LineConnection::connect(balancer.xmpp_address.unwrap());
+    client.send_text(OPENING).receive_until("</stream:features>");
+    client.send_text(&auth(user));
     client
 }
 
 /// Logs in, up to the features of the new stream.
-fn stand(balancer: &Balancer, user: &str) -> Lines {
+fn stand(balancer: &Balancer, user: &str) -> LineConnection {
     let mut client = log_in(balancer, user);
-    client.until(SUCCESS);
-    client.say(OPENING).until("<stream:features/>");
+    client.receive_until(SUCCESS);
+    client.send_text(OPENING).receive_until("<stream:features/>");
     client
 }
 
@@ -89,14 +89,15 @@
     let at = server("a", SUCCESS, told);
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let text = file(&[("s-00000001", at)], "");
-    let list = [entry("s-00000001", nobody(), "ready")];
-    let start = Start { operator: Some(&text), socket: Some(&socket), ..Start::default() };
-    let balancer = Balancer::launch(&Discovery::quiet(), &list, start).up();
+    let list = [list_entry("s-00000001", closed_address(), "ready")];
+    let start =
+        StartOptions { operator: Some(&text), inherited_socket: Some(&socket), ..StartOptions::default() };
+    let balancer = Balancer::launch(&Discovery::without_updates(), &list, start).wait_until_serving();
     let mut client = stand(&balancer, "user");
     balancer.terminate();
-    let last = client.until("</stream:stream>");
+    let last = client.receive_until("</stream:stream>");
     assert!(last.contains("<stream:error>"), "{last}");
-    balancer.logged("left with 0 connections in hand");
+    balancer.wait_for_log("left with 0 connections in hand");
 }
 
 /// Guards against a front whose commands are not counted, or twice.
@@ -107,15 +108,17 @@
     let full = server("full", &(failure("temporary-auth-failure") + "</stream:stream>"), told);
     let count = |at: SocketAddr, users: usize| {
         let name = "s-00000001";
-        let list = [entry(name, nobody(), "ready")];
-        let balancer = Balancer::operated(&Discovery::quiet(), &list, Some(&file(&[(name, at)], "")));
-        let clients: Vec<Lines> = (0..users).map(|i| log_in(&balancer, &format!("user{i}"))).collect();
-        let answered = |mut client: Lines| {
-            client.until(if at == a { SUCCESS } else { "</stream:stream>" });
+        let list = [list_entry(name, closed_address(), "ready")];
+        let balancer =
+            Balancer::start_with_admin(&Discovery::without_updates(), &list, Some(&file(&[(name, at)], "")));
+        let clients: Vec<LineConnection> =
+            (0..users).map(|i| log_in(&balancer, &format!("user{i}"))).collect();
+        let answered = |mut client: LineConnection| {
+            client.receive_until(if at == a { SUCCESS } else { "</stream:stream>" });
             client
         };
-        let _held: Vec<Lines> = clients.into_iter().map(answered).collect();
-        balancer.call("DUMP\r\n")
+        let _held: Vec<LineConnection> = clients.into_iter().map(answered).collect();
+        balancer.admin_command("DUMP\r\n")
     };
     let up = count(a, 4);
     for line in ["completed.watch:4|c", "upstream_requests.watch:4|c", "failed.watch:0|c", "pending:4|g"] {
@@ -133,38 +136,42 @@
 #[test]
 fn xmpp_and_text_clients_share_one_balancer_and_every_rule_holds_for_both() {
     let (told, heard) = channel();
-    let lines = [echo("a", told.clone()), echo("b", told.clone()), echo("full", told.clone())];
+    let lines = [
+        echo_instance("a", told.clone()),
+        echo_instance("b", told.clone()),
+        echo_instance("full", told.clone()),
+    ];
     let a = server("a", SUCCESS, told.clone());
     let b = server("b", SUCCESS, told.clone());
     let full = server("full", &(failure("temporary-auth-failure") + "</stream:stream>"), told);
     let names = ["s-00000001", "s-00000002", "s-00000003"];
-    let list: Vec<String> = names.iter().zip(lines).map(|(name, at)| entry(name, at, "ready")).collect();
-    let discovery = Discovery::quiet();
+    let list: Vec<String> = names.iter().zip(lines).map(|(name, at)| list_entry(name, at, "ready")).collect();
+    let discovery = Discovery::without_updates();
     let xmpp = file(&[(names[0], a), (names[1], b), (names[2], full)], "");
     let balancer = Balancer::start(&discovery, &list, Some(&xmpp));
-    discovery.called();
-    discovery.push(&listing(2, &[entry(names[0], lines[0], "draining")]));
-    balancer.logged("is draining");
+    discovery.next_request();
+    discovery.push(&watch_line(2, &[list_entry(names[0], lines[0], "draining")]));
+    balancer.wait_for_log("is draining");
 
     let (mut desks, mut texts) = (Vec::new(), Vec::new());
     for i in 0..6 {
         let mut desk = stand(&balancer, &format!("user{i}"));
         let message = format!("<message id='{i}'>é&lt;</message>");
-        assert_eq!(desk.say(&message).until("</message>"), message);
+        assert_eq!(desk.send_text(&message).receive_until("</message>"), message);
         desks.push(desk);
-        let mut text = balancer.client();
-        assert_eq!(text.say(&format!("OPEN {i} {i} c=watch,d=2000,g={i}\r\n")).hear(), "UP 1");
-        assert_eq!(text.say("line\r\n").hear(), "line");
+        let mut text = balancer.connect_client();
+        assert_eq!(text.send_text(&format!("OPEN {i} {i} c=watch,d=2000,g={i}\r\n")).receive_line(), "UP 1");
+        assert_eq!(text.send_text("line\r\n").receive_line(), "line");
         texts.push(text);
     }
     balancer.terminate();
     for desk in &mut desks {
-        let last = desk.until("</stream:stream>");
+        let last = desk.receive_until("</stream:stream>");
         assert!(last.contains("<system-shutdown xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"), "{last}");
     }
     for text in &mut texts {
-        assert_eq!(text.hear(), "MOVE");
-        assert_eq!(text.hear(), "END");
+        assert_eq!(text.receive_line(), "MOVE");
+        assert_eq!(text.receive_line(), "END");
     }
     let told: Vec<_> = heard.try_iter().collect();
     assert!(told.iter().all(|(name, _)| *name != "a"), "nothing new to what drains");
@@ -178,11 +185,17 @@
 fn who_is_let_in_by_nobody_is_told_when_to_come_back_and_who_is_refused_is_refused_once() {
     let (told, heard) = channel();
     let nack = |name| server(name, &(failure("temporary-auth-failure") + "</stream:stream>"), told.clone());
-    let list = [entry("s-00000001", nobody(), "ready"), entry("s-00000002", nobody(), "ready")];
+    let list = [
+        list_entry("s-00000001", closed_address(), "ready"),
+        list_entry("s-00000002", closed_address(), "ready"),
+    ];
     let (x, y) = (nack("x"), nack("y"));
-    let balancer =
-        Balancer::start(&Discovery::quiet(), &list, Some(&file(&[("s-00000001", x), ("s-00000002", y)], "")));
-    let answer = log_in(&balancer, "ana").rest();
+    let balancer = Balancer::start(
+        &Discovery::without_updates(),
+        &list,
+        Some(&file(&[("s-00000001", x), ("s-00000002", y)], "")),
+    );
+    let answer = log_in(&balancer, "ana").receive_rest();
     assert!(
         answer.contains("<temporary-auth-failure/><text") && answer.contains("come again after"),
         "{answer}"
@@ -194,20 +207,24 @@
     let (told, heard) = channel();
     let refuses = |name| server(name, &failure("not-authorized"), told.clone());
     let (x, y) = (refuses("x"), refuses("y"));
-    let balancer =
-        Balancer::start(&Discovery::quiet(), &list, Some(&file(&[("s-00000001", x), ("s-00000002", y)], "")));
-    let answer = log_in(&balancer, "ana").rest();
+    let balancer = Balancer::start(
+        &Discovery::without_updates(),
+        &list,
+        Some(&file(&[("s-00000001", x), ("s-00000002", y)], "")),
+    );
+    let answer = log_in(&balancer, "ana").receive_rest();
     assert!(answer.contains(&failure("not-authorized")) && answer.ends_with("</stream:stream>"), "{answer}");
     assert_eq!(heard.try_iter().filter(|(_, what)| what.contains("<auth")).count(), 1);
 }
 
 #[test]
 fn a_log_in_that_nobody_answers_fails_before_its_deadline_with_a_stream_error() {
-    let silent = instance(|mut peer| drop(peer.rest()));
-    let list = [entry("s-00000001", nobody(), "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, Some(&file(&[("s-00000001", silent)], "")));
+    let silent = spawn_instance(|mut peer| drop(peer.receive_rest()));
+    let list = [list_entry("s-00000001", closed_address(), "ready")];
+    let balancer =
+        Balancer::start(&Discovery::without_updates(), &list, Some(&file(&[("s-00000001", silent)], "")));
     let since = Instant::now();
-    let answer = log_in(&balancer, "ana").until("</stream:stream>");
+    let answer = log_in(&balancer, "ana").receive_until("</stream:stream>");
     assert!(
         answer.contains("temporary-auth-failure") || answer.contains("remote-connection-failed"),
         "{answer}"
@@ -228,18 +245,18 @@
     std::fs::write(&key, made.signing_key.serialize_pem()).unwrap();
     let more = format!("certificate = {certificate:?}\nkey = {key:?}");
     let file = file(&[("s-00000001", server("a", SUCCESS, told))], &more);
-    let list = [entry("s-00000001", nobody(), "ready")];
-    let balancer = Balancer::start(&Discovery::quiet(), &list, Some(&file));
+    let list = [list_entry("s-00000001", closed_address(), "ready")];
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&file));
 
-    let mut plain = Lines::to(balancer.xmpp.unwrap());
-    plain.say(OPENING).until("<required/></starttls></stream:features>");
-    assert!(plain.say(&auth("ana")).until("</stream:stream>").contains("policy-violation"));
+    let mut plain = LineConnection::connect(balancer.xmpp_address.unwrap());
+    plain.send_text(OPENING).receive_until("<required/></starttls></stream:features>");
+    assert!(plain.send_text(&auth("ana")).receive_until("</stream:stream>").contains("policy-violation"));
 
-    let mut client = Lines::to(balancer.xmpp.unwrap());
-    client.say(OPENING).until("</stream:features>");
+    let mut client = LineConnection::connect(balancer.xmpp_address.unwrap());
+    client.send_text(OPENING).receive_until("</stream:features>");
     client
-        .say("<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>")
-        .until("<proceed xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>");
+        .send_text("<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>")
+        .receive_until("<proceed xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>");
     let mut roots = RootCertStore::empty();
     roots.add(made.cert.der().clone()).unwrap();
     let config = ClientConfig::builder().with_root_certificates(roots).with_no_client_auth();
@@ -267,43 +284,47 @@
 #[test]
 fn a_stream_that_stalls_within_a_stanza_after_its_log_in_is_ended_and_no_half_stanza_passed_on() {
     let (told, heard) = channel();
-    let list = [entry("s-00000001", nobody(), "ready")];
+    let list = [list_entry("s-00000001", closed_address(), "ready")];
     let file = file(&[("s-00000001", server("a", SUCCESS, told))], "stall = \"300ms\"");
-    let balancer = Balancer::start(&Discovery::quiet(), &list, Some(&file));
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&file));
     let mut client = stand(&balancer, "ana");
     heard.recv().unwrap();
-    client.say("<message id='1'>whole</message>").until("</message>");
+    client.send_text("<message id='1'>whole</message>").receive_until("</message>");
     assert_eq!(heard.recv().unwrap().1, "<message id='1'>whole</message>");
-    client.say("<message id='2'>ha");
-    let last = client.until("</stream:stream>");
+    client.send_text("<message id='2'>ha");
+    let last = client.receive_until("</stream:stream>");
     assert!(last.contains("<connection-timeout xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"), "{last}");
     assert_eq!(heard.recv().unwrap().1, "</stream:stream>", "its stream is ended in order");
     // One that merely says nothing between two stanzas may stay.
     let mut idle = stand(&balancer, "ben");
-    assert!(idle.say(" ").say("<message id='3'>later</message>").until("</message>").contains("later"));
+    assert!(idle
+        .send_text(" ")
+        .send_text("<message id='3'>later</message>")
+        .receive_until("</message>")
+        .contains("later"));
 }
 
 /// The other hard case: guards against a stanza cut in two by a drain, and a drain that waits for ever.
 #[test]
 fn a_drain_lets_a_half_sent_stanza_end_within_its_bound_and_tells_both_sides() {
     let (told, heard) = channel();
-    let list = [entry("s-00000001", nobody(), "ready")];
+    let list = [list_entry("s-00000001", closed_address(), "ready")];
     let file =
         file(&[("s-00000001", server("a", SUCCESS, told))], "finish = \"1s\"\nother_host = \"b.example\"");
-    let balancer = Balancer::start(&Discovery::quiet(), &list, Some(&file));
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&file));
     let (mut ends, mut hangs) = (stand(&balancer, "ana"), stand(&balancer, "ben"));
     heard.recv().unwrap();
     heard.recv().unwrap();
     for client in [&mut ends, &mut hangs] {
-        client.say("<message id='0'>x</message>").until("</message>");
-        client.say("<message id='1'>ha");
+        client.send_text("<message id='0'>x</message>").receive_until("</message>");
+        client.send_text("<message id='1'>ha");
         heard.recv().unwrap();
     }
     balancer.terminate();
-    balancer.logged("leaving");
-    ends.say("lf</message>");
+    balancer.wait_for_log("leaving");
+    ends.send_text("lf</message>");
     for client in [&mut ends, &mut hangs] {
-        let last = client.until("</stream:stream>");
+        let last = client.receive_until("</stream:stream>");
         assert!(last.contains("streams'>b.example</see-other-host>"), "{last}");
     }
     let mut told: Vec<String> = (0..3).map(|_| heard.recv().unwrap().1).collect();
@@ -315,9 +336,9 @@
 #[test]
 fn what_the_rfc_forbids_and_who_is_unknown_ends_with_the_defined_error() {
     let (told, _heard) = channel();
-    let list = [entry("s-00000001", nobody(), "ready")];
+    let list = [list_entry("s-00000001", closed_address(), "ready")];
     let file = file(&[("s-00000001", server("a", SUCCESS, told))], "max_stanza = 10000");
-    let mut balancer = Balancer::start(&Discovery::quiet(), &list, Some(&file));
+    let mut balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&file));
     let big = format!("<message>{}", "x".repeat(20_000));
     let stray = OPENING.replace("desk.example", "other.example");
     for (first, wrong, condition) in [
@@ -331,14 +352,14 @@
         ("<stream to='desk.example' version='1.0'>", "", "invalid-namespace"),
         (OPENING, "<auth xmlns='urn:ietf:params:xml:ns:xmpp-sasl' mechanism='X'/>", "invalid-mechanism"),
     ] {
-        let mut client = Lines::to(balancer.xmpp.unwrap());
-        client.say(first).say(wrong);
-        let answer = client.until("</stream:stream>");
+        let mut client = LineConnection::connect(balancer.xmpp_address.unwrap());
+        client.send_text(first).send_text(wrong);
+        let answer = client.receive_until("</stream:stream>");
         assert!(answer.contains(&format!("<{condition}")) && answer.contains("<stream:stream"), "{answer}");
-        balancer.logged("WARN");
+        balancer.wait_for_log("WARN");
     }
     let _ = stand(&balancer, "ana");
-    assert!(balancer.runs());
+    assert!(balancer.is_running());
 }
 
 /// Guards against connections of one front that an owner on the other can never have back, and against a stream
@@ -346,34 +367,37 @@
 #[test]
 fn what_the_xmpp_front_has_borrowed_is_given_back_to_an_owner_on_the_line_front_in_its_own_way() {
     let (told, heard) = channel();
-    let lines = [entry("s-00000001", echo("lines", told.clone()), "ready")];
+    let lines = [list_entry("s-00000001", echo_instance("lines", told.clone()), "ready")];
     let xmpp = file(&[("s-00000001", server("xmpp", SUCCESS, told))], "")
         .replace("connections = 100", "connections = 1")
         + "[[team]]\nname = \"north\"\nconnections = 2\n[capacity]\nconnections = 3\n";
-    let balancer = Balancer::start(&Discovery::quiet(), &lines, Some(&xmpp));
+    let balancer = Balancer::start(&Discovery::without_updates(), &lines, Some(&xmpp));
     // One is its own, one is borrowed: the third of the room is kept for the owner, who is let in at once.
-    let mut desks: Vec<Lines> = ["ann", "bob"].map(|user| log_in(&balancer, user)).into();
+    let mut desks: Vec<LineConnection> = ["ann", "bob"].map(|user| log_in(&balancer, user)).into();
     for desk in &mut desks {
-        desk.until(SUCCESS);
-        desk.say(OPENING).until("<stream:features/>");
+        desk.receive_until(SUCCESS);
+        desk.send_text(OPENING).receive_until("<stream:features/>");
     }
     let mut third = log_in(&balancer, "cid");
-    assert!(third.rest().contains("temporary-auth-failure"));
-    let mut north = [balancer.client(), balancer.client()];
-    assert_eq!(north[0].say("OPEN 1 1 c=watch,d=2000,t=north\r\n").hear(), "UP 1");
-    let busy = north[1].say("OPEN 2 2 c=watch,d=2000,t=north\r\n").hear();
+    assert!(third.receive_rest().contains("temporary-auth-failure"));
+    let mut north = [balancer.connect_client(), balancer.connect_client()];
+    assert_eq!(north[0].send_text("OPEN 1 1 c=watch,d=2000,t=north\r\n").receive_line(), "UP 1");
+    let busy = north[1].send_text("OPEN 2 2 c=watch,d=2000,t=north\r\n").receive_line();
     let ms: u64 = busy.strip_prefix("BUSY ").expect("when to come back").parse().unwrap();
     assert!(ms <= 2000, "{busy}");
     // The newest is asked to go, with a whole error in its stream; the other stays.
-    let last = desks.pop().unwrap().rest();
+    let last = desks.pop().unwrap().receive_rest();
     assert!(last.contains("<system-shutdown ") && last.ends_with("</stream:stream>"), "{last}");
     let again = (3..).map(|id| {
-        let mut client = balancer.client();
+        let mut client = balancer.connect_client();
         std::thread::sleep(Duration::from_millis(5));
-        (client.say(&format!("OPEN {id} 2 c=watch,d=2000,t=north,again=1\r\n")).hear(), client)
+        (client.send_text(&format!("OPEN {id} 2 c=watch,d=2000,t=north,again=1\r\n")).receive_line(), client)
     });
     let (_, _client) = again.take(1000).find(|(answer, _)| answer == "UP 1").expect("it has its contract");
-    assert_eq!(desks[0].say("<presence></presence>").until("</presence>"), "<presence></presence>");
+    assert_eq!(
+        desks[0].send_text("<presence></presence>").receive_until("</presence>"),
+        "<presence></presence>"
+    );
     drop(heard);
 }
 
@@ -381,13 +405,13 @@
 fn slow(told: Sender<(&'static str, String)>) -> (SocketAddr, Sender<()>) {
     let (open, opened) = channel::<()>();
     let opened = std::sync::Mutex::new(opened);
-    let address = instance(move |mut peer| {
-        peer.until("version='1.0'");
-        peer.until(">");
+    let address = spawn_instance(move |mut peer| {
+        peer.receive_until("version='1.0'");
+        peer.receive_until(">");
         let _ = told.send(("slow", "came".into()));
         if opened.lock().unwrap().recv().is_ok() {
             let _ = peer.stream.write_all(format!("{OPENING}{FEATURES}").as_bytes());
-            let _ = told.send(("slow", peer.rest()));
+            let _ = told.send(("slow", peer.receive_rest()));
         }
     });
     (address, open)
@@ -398,18 +422,18 @@
 fn a_log_in_is_not_sent_to_a_server_that_drains_since_its_stream_was_asked_for() {
     let (told, heard) = channel();
     let (address, open) = slow(told);
-    let discovery = Discovery::quiet();
-    let list = [entry("s-00000001", address, "ready")];
+    let discovery = Discovery::without_updates();
+    let list = [list_entry("s-00000001", address, "ready")];
     let operator = file(&[("s-00000001", address)], "");
     let balancer = Balancer::start(&discovery, &list, Some(&operator));
-    discovery.called();
+    discovery.next_request();
     let mut client = log_in(&balancer, "ana");
     assert_eq!(heard.recv().unwrap().1, "came");
-    discovery.push(&listing(2, &[entry("s-00000001", address, "draining")]));
-    balancer.logged("is draining");
+    discovery.push(&watch_line(2, &[list_entry("s-00000001", address, "draining")]));
+    balancer.wait_for_log("is draining");
     open.send(()).unwrap();
     assert!(!heard.recv().unwrap().1.contains("<auth"));
-    client.until("temporary-auth-failure");
+    client.receive_until("temporary-auth-failure");
 }
 
 /// Guards against a log-in that is sent for a client that left in the turn in which the server's stream opened.
@@ -417,9 +441,9 @@
 fn a_log_in_whose_client_has_left_is_not_sent() {
     let (told, heard) = channel();
     let (address, open) = slow(told);
-    let list = [entry("s-00000001", address, "ready")];
+    let list = [list_entry("s-00000001", address, "ready")];
     let operator = file(&[("s-00000001", address)], "");
-    let balancer = Balancer::start(&Discovery::quiet(), &list, Some(&operator));
+    let balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&operator));
     let client = log_in(&balancer, "ana");
     assert_eq!(heard.recv().unwrap().1, "came");
     balancer.signal("-STOP");
