--- a/benches/flood.rs
+++ b/benches/flood.rs
@@ -27,13 +27,17 @@
         return;
     }
     println!("kept connection time of two quiet teams, by the size of the third team's flood:");
-    let operator = contracts(60, &[("north", 20, ""), ("east", 20, ""), ("south", 20, "")]);
-    let life = Duration::from_millis(900);
+    let operator = contracts_file(60, &[("north", 20, ""), ("east", 20, ""), ("south", 20, "")]);
+    let connection_lifetime = Duration::from_millis(900);
     let run = |flood: usize| {
-        let balancer = Balancer::start(&Discovery::without_updates(), &servers(), Some(&operator));
-        let quiet = |team| Habit { life, ..habit(team, 20) };
-        let flood = Habit { life, patience: Duration::from_millis(100), ..habit("south", flood) };
-        play(
+        let balancer = Balancer::start(&Discovery::without_updates(), &echo_instances(), Some(&operator));
+        let quiet = |team| ClientBehavior { connection_lifetime, ..client_behavior(team, 20) };
+        let flood = ClientBehavior {
+            connection_lifetime,
+            max_retry_wait: Duration::from_millis(100),
+            ..client_behavior("south", flood)
+        };
+        run_clients(
             balancer.line_address,
             &[(0, quiet("north")), (0, quiet("east")), (300, flood)],
             Duration::from_secs(10),
@@ -44,7 +48,7 @@
     println!("  times the contract   north    east   south: asked  refused  seconds");
     for times in [1, 3, 10, 30] {
         let seen = run(20 * times);
-        let kept = |team| seen[team].seconds / calm[team].seconds;
+        let kept = |team| seen[team].connected_seconds / calm[team].connected_seconds;
         let south = &seen["south"];
         println!(
             "  {times:18} {:7.3} {:7.3} {:12} {:8} {:8.1}",
@@ -52,7 +56,7 @@
             kept("east"),
             south.asked,
             south.busy,
-            south.seconds
+            south.connected_seconds
         );
     }
     println!("CPU of one refused first line, in microseconds, {REFUSED} each:");
@@ -73,7 +77,8 @@
 fn refusals(program: &Path) -> f64 {
     let team = "[[team]]\nname = \"south\"\nconnections = 1\nborrow = false\n";
     let start = StartOptions { program, operator: Some(team), ..StartOptions::default() };
-    let balancer = Balancer::launch(&Discovery::without_updates(), &servers(), start).wait_until_serving();
+    let balancer =
+        Balancer::launch(&Discovery::without_updates(), &echo_instances(), start).wait_until_serving();
     let mut holder = balancer.connect_client();
     assert_eq!(holder.send_text("OPEN holder 1 c=watch,d=2000,t=south\r\n").receive_line(), "UP 1");
     let begun = balancer.cpu_time();
--- a/tests/crowd/mod.rs
+++ b/tests/crowd/mod.rs
@@ -1,5 +1,5 @@
-//! Crowds of clients under contract, and the session servers and files that they need. All on loopback, in one
-//! thread, for a bounded time.
+//! Simulated clients of teams with contracts, and the instances and operator files that the tests need. The clients run
+//! on loopback, in one thread, for a bounded time.
 #![allow(dead_code)]
 
 use crate::peers::*;
@@ -13,128 +13,146 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, LocalSet};
 
-/// What the clients of one team saw.
+/// Results seen by the clients of one team.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct TeamCounts {
     pub asked: u64,
     pub up: u64,
     pub busy: u64,
     pub moved: u64,
-    /// Ended without `MOVE`, or answered in another way.
-    pub cut: u64,
-    pub seconds: f64,
-    pub held: usize,
-    /// When it last held so many as never before.
-    pub most: (usize, Option<Instant>),
+    /// Connections that ended without `MOVE`, and answers other than `UP` and `BUSY`.
+    pub unexpected_ends: u64,
+    pub connected_seconds: f64,
+    pub open_connections: usize,
+    /// Highest number of open connections, and when it was reached.
+    pub peak: (usize, Option<Instant>),
 }
 
-pub type Book = Rc<RefCell<BTreeMap<&'static str, Seen>>>;
+/// Counts by team, shared by all clients of a run.
+pub type SharedCounts = Rc<RefCell<BTreeMap<&'static str, TeamCounts>>>;
 
-/// How a team's clients behave.
+/// Behavior of the clients of one team.
 #[derive(Clone, Copy)]
-pub struct Habit {
+pub struct ClientBehavior {
     pub team: &'static str,
     pub clients: usize,
-    /// A connection is ended by its client after this long, and wanted again.
-    pub life: Duration,
-    /// Refused, a client waits as told, and no longer than this.
-    pub patience: Duration,
+    /// Time after which a client ends its connection and requests a new one.
+    pub connection_lifetime: Duration,
+    /// Limit on the time that a rejected client waits; below it, the delay in the `BUSY` answer applies.
+    pub max_retry_wait: Duration,
 }
 
-/// Between a connection's end and the next that is wanted: the least that clients have been seen to take.
-const AGAIN: Duration = Duration::from_millis(94);
+/// Delay between the end of a connection and the client's next request: the shortest seen from real clients.
+const RECONNECT_DELAY: Duration = Duration::from_millis(94);
 
-pub fn habit(team: &'static str, clients: usize) -> Habit {
-    Habit { team, clients, life: Duration::from_secs(60), patience: Duration::from_secs(60) }
+/// Returns the default behavior: connections and waits of up to 60 s.
+pub fn client_behavior(team: &'static str, clients: usize) -> ClientBehavior {
+    ClientBehavior {
+        team,
+        clients,
+        connection_lifetime: Duration::from_secs(60),
+        max_retry_wait: Duration::from_secs(60),
+    }
 }
 
-/// One client: it wants a connection until the end.
-async fn client(at: SocketAddr, habit: Habit, number: usize, book: Book, end: Instant) {
-    let note = |change: &dyn Fn(&mut Seen)| change(book.borrow_mut().entry(habit.team).or_default());
-    for again in 0.. {
-        if Instant::now() >= end {
+/// Runs one client, which keeps requesting connections until `stop_at`.
+async fn run_client(
+    address: SocketAddr,
+    behavior: ClientBehavior,
+    number: usize,
+    counts: SharedCounts,
+    stop_at: Instant,
+) {
+    let update =
+        |change: &dyn Fn(&mut TeamCounts)| change(counts.borrow_mut().entry(behavior.team).or_default());
+    for attempt in 0.. {
+        if Instant::now() >= stop_at {
             return;
         }
-        tokio::time::sleep(if again > 0 { AGAIN } else { Duration::from_millis(number as u64) }).await;
-        let Ok(stream) = TcpStream::connect(at).await else { return };
+        tokio::time::sleep(if attempt > 0 { RECONNECT_DELAY } else { Duration::from_millis(number as u64) })
+            .await;
+        let Ok(stream) = TcpStream::connect(address).await else { return };
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
-        let (team, mark) = (habit.team, if again > 0 { ",again=1" } else { "" });
-        let open = format!("OPEN {team}-{number}-{again} {number} c=watch,d=2000,t={team}{mark}\r\n");
-        note(&|s| s.asked += 1);
+        let (team, again_key) = (behavior.team, if attempt > 0 { ",again=1" } else { "" });
+        let open = format!("OPEN {team}-{number}-{attempt} {number} c=watch,d=2000,t={team}{again_key}\r\n");
+        update(&|s| s.asked += 1);
         let answer = match write.write_all(open.as_bytes()).await {
             Ok(()) => lines.next_line().await.ok().flatten().unwrap_or_default(),
             Err(_) => String::new(),
         };
         if answer.starts_with("UP") {
-            let begun = Instant::now();
-            note(&|s| {
-                (s.up, s.held) = (s.up + 1, s.held + 1);
-                if s.held > s.most.0 {
-                    s.most = (s.held, Some(begun));
+            let started = Instant::now();
+            update(&|s| {
+                (s.up, s.open_connections) = (s.up + 1, s.open_connections + 1);
+                if s.open_connections > s.peak.0 {
+                    s.peak = (s.open_connections, Some(started));
                 }
             });
-            let over = end.min(begun + habit.life);
-            let last = tokio::time::timeout_at(over.into(), lines.next_line()).await;
-            note(&|s| {
-                s.held -= 1;
-                s.seconds += begun.elapsed().as_secs_f64();
-                match &last {
+            let close_at = stop_at.min(started + behavior.connection_lifetime);
+            let received = tokio::time::timeout_at(close_at.into(), lines.next_line()).await;
+            update(&|s| {
+                s.open_connections -= 1;
+                s.connected_seconds += started.elapsed().as_secs_f64();
+                match &received {
                     Err(_) => {}
                     Ok(Ok(Some(line))) if line == "MOVE" => s.moved += 1,
-                    Ok(_) => s.cut += 1,
+                    Ok(_) => s.unexpected_ends += 1,
                 }
             });
         } else if let Some(ms) = answer.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok()) {
-            note(&|s| s.busy += 1);
-            tokio::time::sleep(Duration::from_millis(ms).min(habit.patience)).await;
+            update(&|s| s.busy += 1);
+            tokio::time::sleep(Duration::from_millis(ms).min(behavior.max_retry_wait)).await;
         } else {
-            note(&|s| s.cut += 1);
+            update(&|s| s.unexpected_ends += 1);
             return;
         }
     }
 }
 
-/// Lets teams come, each after its time, until the end; what they saw. `meanwhile` runs beside them.
-pub fn play(
-    at: SocketAddr,
-    teams: &[(u64, Habit)],
-    span: Duration,
-    mut meanwhile: impl FnMut(Duration, &Book),
-) -> BTreeMap<&'static str, Seen> {
+/// Runs the clients of each team, starting after the team's delay in milliseconds, for `duration`. Calls `meanwhile`
+/// every 10 ms with the elapsed time and the counts so far, and returns the final counts.
+pub fn run_clients(
+    address: SocketAddr,
+    teams: &[(u64, ClientBehavior)],
+    duration: Duration,
+    mut meanwhile: impl FnMut(Duration, &SharedCounts),
+) -> BTreeMap<&'static str, TeamCounts> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let (book, begun) = (Book::default(), Instant::now());
+    let (counts, started) = (SharedCounts::default(), Instant::now());
     LocalSet::new().block_on(&runtime, async {
         let mut clients = Vec::new();
-        for &(after, habit) in teams {
-            for number in 0..habit.clients {
-                let book = book.clone();
+        for &(after, behavior) in teams {
+            for number in 0..behavior.clients {
+                let counts = counts.clone();
                 clients.push(spawn_local(async move {
                     tokio::time::sleep(Duration::from_millis(after)).await;
-                    client(at, habit, number, book, begun + span).await;
+                    run_client(address, behavior, number, counts, started + duration).await;
                 }));
             }
         }
-        while begun.elapsed() < span {
-            meanwhile(begun.elapsed(), &book);
+        while started.elapsed() < duration {
+            meanwhile(started.elapsed(), &counts);
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         for client in clients {
             client.await.unwrap();
         }
     });
-    book.take()
+    counts.take()
 }
 
-pub fn servers() -> Vec<String> {
-    let (told, _) = channel();
+/// Starts three echoing instances and returns their entries for the discovery list.
+pub fn echo_instances() -> Vec<String> {
+    let (reports, _) = channel();
     let names = ["s-00000001", "s-00000002", "s-00000003"];
-    names.map(|name| list_entry(name, echo_instance(name, told.clone()), "ready")).to_vec()
+    names.map(|name| list_entry(name, echo_instance(name, reports.clone()), "ready")).to_vec()
 }
 
-pub fn contracts(capacity: usize, teams: &[(&str, usize, &str)]) -> String {
-    let team = |(name, n, more): &(&str, usize, &str)| {
-        format!("[[team]]\nname = \"{name}\"\nconnections = {n}\n{more}\n")
+/// Returns an operator file with the capacity and, for each team, its name, connections and further keys.
+pub fn contracts_file(capacity: usize, teams: &[(&str, usize, &str)]) -> String {
+    let team = |(name, connections, more_keys): &(&str, usize, &str)| {
+        format!("[[team]]\nname = \"{name}\"\nconnections = {connections}\n{more_keys}\n")
     };
     let teams: String = teams.iter().map(team).collect();
     format!("[capacity]\nconnections = {capacity}\n[account]\nevery = \"1s\"\n{teams}")
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -29,7 +29,7 @@
 /// it writes: the logs of the writers have every request of the clients exactly once.
 #[test]
 fn the_account_of_the_fleet_is_complete_after_its_writer_is_killed() {
-    let teams = crowd::contracts(200, &[("north", 100, ""), ("east", 100, "")]);
+    let teams = crowd::contracts_file(200, &[("north", 100, ""), ("east", 100, "")]);
     let mut group = start_group("account", &teams, "json");
     let mut clients = Vec::new();
     let mut requests = BTreeMap::from([("north", 0u64), ("east", 0)]);
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Scripted peers over loopback sockets: discovery, instances and the program itself. Every wait is for an
-//! event; the time-outs only end a test that would hang.
+//! Test harness for the balancer process: scripted discovery servers and instances on loopback sockets, and the
+//! process under test. Every wait is for an event; the timeouts only end a test that would otherwise hang.
 #![allow(dead_code)]
 
 use command_fds::{CommandFdExt, FdMapping};
@@ -15,9 +15,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Limit on each wait for an expected event; it only ends a test that would hang.
 const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A connection read line by line.
+/// Blocking TCP connection that is read line by line.
 pub struct LineConnection {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -39,32 +40,35 @@
         self
     }
 
-    /// The next line without its end; `END` when the other side has ended.
+    /// Returns the next line without its line end, `END` at end of file, or `RESET` after a connection reset.
     pub fn receive_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => "END".into(),
             Ok(_) => line.trim_end().into(),
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => "RESET".into(),
-            Err(e) => panic!("nothing came: {e}"),
+            Err(e) => panic!("no line received: {e}"),
         }
     }
 
-    /// Reads until the text has come; all that came.
+    /// Reads up to and including `text` and returns all that was read.
     pub fn receive_until(&mut self, text: &str) -> String {
         let mut all = Vec::new();
         while !String::from_utf8_lossy(&all).contains(text) {
             let mut byte = [0];
-            // `read` alone would end the test when a signal or a freeze of the machine interrupts it.
+            // `read_exact` retries interrupted reads; with a plain `read`, a signal or a suspended machine would fail
+            // the test.
             match self.reader.read_exact(&mut byte) {
                 Ok(()) => all.push(byte[0]),
-                other => panic!("wanted {text:?}, had {:?}, then {other:?}", String::from_utf8_lossy(&all)),
+                other => {
+                    panic!("expected {text:?}, received {:?}, then {other:?}", String::from_utf8_lossy(&all))
+                }
             }
         }
         String::from_utf8(all).unwrap()
     }
 
-    /// All until the end.
+    /// Returns all that is received until the connection ends.
     pub fn receive_rest(&mut self) -> String {
         let mut all = String::new();
         let _ = self.reader.read_to_string(&mut all);
@@ -72,7 +76,7 @@
     }
 }
 
-/// An instance: each connection runs the script in a thread of its own.
+/// Starts an instance that runs `script` for each connection, in a separate thread.
 pub fn spawn_instance(script: impl Fn(LineConnection) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -86,15 +90,15 @@
     address
 }
 
-/// An instance that reports each first line and says `UP`, then sends every line back until `quit`.
-pub fn echo_instance(name: &'static str, told: Sender<(&'static str, String)>) -> SocketAddr {
+/// Starts an instance that reports each first line and answers `UP`, then echoes every line until `quit`.
+pub fn echo_instance(name: &'static str, reports: Sender<(&'static str, String)>) -> SocketAddr {
     spawn_instance(move |mut peer| {
         let first = peer.receive_line();
         if first == "PING" {
             peer.send_text("PONG\r\n");
             return;
         }
-        let _ = told.send((name, first));
+        let _ = reports.send((name, first));
         peer.send_text("UP 1\r\n");
         loop {
             match peer.receive_line().as_str() {
@@ -111,47 +115,49 @@
     })
 }
 
-/// An instance that may have run what it was sent, and says no more than that.
-pub fn failing_instance(told: Sender<String>) -> SocketAddr {
+/// Starts an instance that answers each `OPEN` with `ERR`: the command may have been executed, but its outcome is
+/// unknown.
+pub fn failing_instance(reports: Sender<String>) -> SocketAddr {
     spawn_instance(move |mut peer| {
         let first = peer.receive_line();
         if first.starts_with("OPEN") {
-            let _ = told.send(first);
+            let _ = reports.send(first);
             peer.send_text("ERR\r\n");
         }
         peer.receive_rest();
     })
 }
 
-/// An instance that tells of each first line and says what it is told to, and tells how its connection went on.
-pub fn scripted_instance(told: Sender<String>) -> (SocketAddr, Sender<&'static str>) {
-    let (say, said) = channel::<&'static str>();
-    let said: Arc<Mutex<Receiver<&'static str>>> = Arc::new(Mutex::new(said));
+/// Starts an instance that reports each `OPEN` line, answers it with the next text from the returned sender, and
+/// then echoes and reports every line up to the end of the connection.
+pub fn scripted_instance(reports: Sender<String>) -> (SocketAddr, Sender<&'static str>) {
+    let (answer_sender, answers) = channel::<&'static str>();
+    let answers: Arc<Mutex<Receiver<&'static str>>> = Arc::new(Mutex::new(answers));
     let address = spawn_instance(move |mut peer| {
         let first = peer.receive_line();
         if !first.starts_with("OPEN") {
             return;
         }
-        let _ = told.send(first);
-        let Ok(answer) = said.lock().unwrap().recv() else { return };
+        let _ = reports.send(first);
+        let Ok(answer) = answers.lock().unwrap().recv() else { return };
         let _ = peer.stream.write_all(answer.as_bytes());
         loop {
             let line = peer.receive_line();
             let ends = matches!(line.as_str(), "END" | "RESET");
             let _ = peer.stream.write_all(format!("{line}\r\n").as_bytes());
-            let _ = told.send(format!("then {line}"));
+            let _ = reports.send(format!("then {line}"));
             if ends {
                 return;
             }
         }
     });
-    (address, say)
+    (address, answer_sender)
 }
 
-/// A listener that takes nobody until it is opened: the queue of those that wait is full.
+/// Listener whose accept queue is full, so that connections are not established until `accept_pending` is called.
 pub struct FullListener {
     listener: TcpListener,
-    fillers: Vec<TcpStream>,
+    queue_fillers: Vec<TcpStream>,
 }
 
 impl FullListener {
@@ -160,51 +166,52 @@
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
         socket.listen(0).unwrap();
         let listener: TcpListener = socket.into();
-        let fillers = vec![TcpStream::connect(listener.local_addr().unwrap()).unwrap()];
-        FullListener { listener, fillers }
+        let queue_fillers = vec![TcpStream::connect(listener.local_addr().unwrap()).unwrap()];
+        FullListener { listener, queue_fillers }
     }
 
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Waits until somebody dials: the kernel lists a connection to this port that is not up.
+    /// Waits for a connection attempt: the kernel then lists a socket in state SYN_SENT (02) to this port.
     pub fn wait_for_dial(&self) {
         let port = format!(":{:04X} ", self.address().port());
-        let dials = |line: &str| line.split_whitespace().nth(3) == Some("02") && line.contains(&port);
-        while !std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(dials) {
+        let is_dialing = |line: &str| line.split_whitespace().nth(3) == Some("02") && line.contains(&port);
+        while !std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(is_dialing) {
             std::thread::yield_now();
         }
     }
 
-    /// Takes those that wait, and the one that dialled: its next try comes up within a second or two.
+    /// Accepts the connections that fill the queue, then the one that is being established: its next SYN is sent within
+    /// a second or two.
     pub fn accept_pending(&self) -> LineConnection {
-        for _ in &self.fillers {
+        for _ in &self.queue_fillers {
             self.listener.accept().unwrap();
         }
         LineConnection::new(self.listener.accept().unwrap().0)
     }
 }
 
-/// An address on which nothing listens.
+/// Returns an address on which nothing listens.
 pub fn closed_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// One entry of the list.
+/// Returns one entry of the discovery list.
 pub fn list_entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":0,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-/// A line of the watch.
+/// Returns a line of the discovery watch; the one with index 1 is the full list.
 pub fn watch_line(index: u64, entries: &[String]) -> String {
     format!("{{\"index\":{index},\"snapshot\":{},\"endpoints\":[{}]}}\n", index == 1, entries.join(","))
 }
 
-/// Discovery: answers each call with the next script (raw bytes), the last one again and again, and tells of
-/// each call; what is sent through `push` goes to the newest watch as chunks.
+/// Discovery server that answers each request with the next script (raw bytes), repeating the last one, and reports
+/// each request line. `push` sends an update to the newest watch as an HTTP chunk.
 pub struct Discovery {
     pub address: SocketAddr,
     pub requests: Receiver<String>,
@@ -221,32 +228,32 @@
     pub fn new(scripts: Vec<String>) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (told, requests) = channel();
+        let (request_sender, requests) = channel();
         let watch: Arc<Mutex<Option<TcpStream>>> = Arc::default();
-        let kept = watch.clone();
+        let newest_watch = watch.clone();
         thread::spawn(move || {
             for (i, stream) in listener.incoming().flatten().enumerate() {
                 let mut peer = LineConnection::new(stream);
-                let call = peer.receive_line();
+                let request = peer.receive_line();
                 while !matches!(peer.receive_line().as_str(), "" | "END" | "RESET") {}
                 let script = &scripts[i.min(scripts.len() - 1)];
                 let _ = peer.stream.write_all(script.as_bytes());
                 if script.starts_with(CHUNKED_RESPONSE) {
-                    *kept.lock().unwrap() = Some(peer.stream.try_clone().unwrap());
+                    *newest_watch.lock().unwrap() = Some(peer.stream.try_clone().unwrap());
                 }
-                let _ = told.send(call);
+                let _ = request_sender.send(request);
             }
         });
         Discovery { address, requests, watch }
     }
 
-    /// One that has nothing to tell beyond the list that the program starts with.
+    /// Starts a server that sends no updates to the list with which the process starts.
     pub fn without_updates() -> Discovery {
         Discovery::new(vec![CHUNKED_RESPONSE.to_string() + &http_chunk("\n")])
     }
 
     pub fn next_request(&self) -> String {
-        self.requests.recv_timeout(HANG_TIMEOUT).expect("a call")
+        self.requests.recv_timeout(HANG_TIMEOUT).expect("a request to discovery")
     }
 
     pub fn push(&self, line: &str) {
@@ -255,21 +262,21 @@
     }
 }
 
-/// The program.
+/// A running balancer process. Dropping it kills the process and deletes its files.
 pub struct Balancer {
     child: Child,
     pub line_address: SocketAddr,
     pub xmpp_address: Option<SocketAddr>,
-    /// The operators' door, where it was started with one.
+    /// Address of the admin endpoint, where the process was started with one.
     pub admin_address: Option<SocketAddr>,
     log: Receiver<String>,
     dir: PathBuf,
 }
 
-/// The descriptors that the program is told it may use.
+/// Limit on file descriptors in the configuration of the process (`limits.sockets`).
 pub const DESCRIPTOR_LIMIT: usize = 512;
 
-/// How it is started.
+/// Options with which a balancer process is started.
 pub struct StartOptions<'a> {
     pub program: &'a Path,
     pub operator: Option<&'a str>,
@@ -277,7 +284,7 @@
     pub log_format: &'a str,
     pub with_admin: bool,
     pub inherited_socket: Option<&'a TcpListener>,
-    /// The folder that an older and a newer process share.
+    /// Value of `TMPDIR`, the folder through which an older process hands over to a newer one.
     pub temp_folder: Option<&'a Path>,
 }
 
@@ -301,7 +308,7 @@
   "Guarantees":{"ColdShare":1.0,"DrainGraceMs":500,"MustAskInMs":10000},
   "PolicyLimits":{"SendCap":4,"ConnectTimeoutMs":500,"RetryAfter":true,"MaxRetryAfterMs":2000}}"#;
 
-/// Settings that give a dial its time.
+/// Settings whose connect timeout outlasts the retransmission of a SYN.
 pub fn settings_with_long_connect_timeout() -> String {
     SETTINGS
         .replace("\"ConnectTimeoutMs\":500", "\"ConnectTimeoutMs\":8000")
@@ -309,7 +316,7 @@
 }
 
 impl Balancer {
-    /// Starts it with this list, and an operator's file where there is one.
+    /// Starts a balancer with this list and optional operator file, and waits until it serves.
     pub fn start(discovery: &Discovery, known: &[String], operator: Option<&str>) -> Balancer {
         Balancer::start_with(discovery, known, operator, SETTINGS, "text")
     }
@@ -329,7 +336,7 @@
         .wait_until_serving()
     }
 
-    /// One with a door for operators.
+    /// Starts a balancer with an admin endpoint.
     pub fn start_with_admin(discovery: &Discovery, known: &[String], operator: Option<&str>) -> Balancer {
         Balancer::launch(
             discovery,
@@ -339,7 +346,8 @@
         .wait_until_serving()
     }
 
-    /// One with a door, which takes its clients from a socket that it inherits.
+    /// Starts a balancer with an admin endpoint that accepts clients from an inherited listening socket. Does not wait
+    /// until it serves.
     pub fn launch_with_socket(discovery: &Discovery, known: &[String], socket: &TcpListener) -> Balancer {
         Balancer::launch(
             discovery,
@@ -348,18 +356,21 @@
         )
     }
 
-    /// Says a line at the operators' door; all that it answers.
+    /// Sends a line to the admin endpoint and returns the whole answer.
     pub fn admin_command(&self, line: &str) -> String {
         LineConnection::connect(self.admin_address.unwrap()).send_text(line).receive_rest()
     }
 
-    /// Starts it and waits for nothing.
+    /// Starts a balancer without waiting until it serves clients; waits only for the addresses of the admin endpoint
+    /// and of XMPP, where they are configured.
     pub fn launch(discovery: &Discovery, known: &[String], start: StartOptions) -> Balancer {
         let (mut command, dir) = Balancer::command(discovery, known, &start, None);
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let (told, log) = channel();
+        let (log_sender, log) = channel();
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| told.send(line)));
+        thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).try_for_each(|line| log_sender.send(line))
+        });
         let mut balancer = Balancer {
             child,
             line_address: closed_address(),
@@ -377,15 +388,16 @@
         balancer
     }
 
-    /// Starts it with this text for `LB_FD` and this as descriptor 5, and expects it to end: what it said.
+    /// Starts a balancer with this value of `LB_FD` and `descriptor` as descriptor 5, asserts that it exits with status 1,
+    /// and returns its standard error.
     pub fn start_failure(
         discovery: &Discovery,
         start: StartOptions,
-        text: &str,
-        pass: Option<OwnedFd>,
+        lb_fd: &str,
+        descriptor: Option<OwnedFd>,
     ) -> String {
-        let (mut command, dir) = Balancer::command(discovery, &[], &start, pass);
-        let out = command.env("LB_FD", text).output().unwrap();
+        let (mut command, dir) = Balancer::command(discovery, &[], &start, descriptor);
+        let out = command.env("LB_FD", lb_fd).output().unwrap();
         std::fs::remove_dir_all(dir).unwrap();
         assert_eq!(out.status.code(), Some(1));
         String::from_utf8(out.stderr).unwrap()
@@ -395,7 +407,7 @@
         discovery: &Discovery,
         known: &[String],
         start: &StartOptions,
-        pass: Option<OwnedFd>,
+        descriptor: Option<OwnedFd>,
     ) -> (Command, PathBuf) {
         static STARTED: AtomicUsize = AtomicUsize::new(0);
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
@@ -417,7 +429,7 @@
             command.env("OAKDEAL_OPERATOR", dir.join("oakdeal.toml"));
         }
         let socket = start.inherited_socket.map(|socket| socket.try_clone().unwrap().into());
-        if let Some(parent_fd) = pass.or(socket) {
+        if let Some(parent_fd) = descriptor.or(socket) {
             command.env("LB_FD", "5").fd_mappings(vec![FdMapping { parent_fd, child_fd: 5 }]).unwrap();
         }
         if start.with_admin {
@@ -431,12 +443,12 @@
         (command, dir)
     }
 
-    /// Its process.
+    /// Returns the process id.
     pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits until it takes clients.
+    /// Waits until the balancer accepts clients.
     pub fn wait_until_serving(mut self) -> Balancer {
         self.line_address = self.logged_address("n0 serves ");
         self
@@ -448,24 +460,24 @@
         rest.split(|c: char| !c.is_ascii_digit() && c != '.' && c != ':').next().unwrap().parse().unwrap()
     }
 
-    /// Puts another operator's file and has it read.
+    /// Replaces the operator file and has it reloaded.
     pub fn reload_operator_file(&self, text: &str) {
         std::fs::write(self.dir.join("oakdeal.toml"), text).unwrap();
         self.signal("-HUP");
     }
 
-    /// Ends it and gives all that is left of its log.
+    /// Terminates the process and returns the log lines that have not been read.
     pub fn terminate_and_read_log(mut self) -> Vec<String> {
         self.terminate();
         let _ = self.child.wait();
         self.log.iter().collect()
     }
 
-    /// Waits for a line of the log.
+    /// Waits for a log line that contains `text` and returns it.
     pub fn wait_for_log(&self, text: &str) -> String {
-        let until = Instant::now() + HANG_TIMEOUT;
+        let deadline = Instant::now() + HANG_TIMEOUT;
         loop {
-            let line = self.log.recv_timeout(until.saturating_duration_since(Instant::now()));
+            let line = self.log.recv_timeout(deadline.saturating_duration_since(Instant::now()));
             let line = line.unwrap_or_else(|_| panic!("{text:?} was not logged"));
             if line.contains(text) {
                 return line;
@@ -473,7 +485,7 @@
         }
     }
 
-    /// CPU time that it has used, at the kernel's hundred ticks a second.
+    /// Returns the CPU time that the process has used, at the kernel's hundred ticks a second.
     pub fn cpu_time(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split(' ').collect();
@@ -494,7 +506,7 @@
         assert!(kill.unwrap().success());
     }
 
-    /// Puts another text for its configuration and has it read.
+    /// Changes the text of the configuration and has it reloaded.
     pub fn reload_config(&self, change: impl FnOnce(String) -> String) {
         let path = self.dir.join("config.json");
         let text = std::fs::read_to_string(&path).unwrap();
@@ -502,7 +514,7 @@
         self.signal("-HUP");
     }
 
-    /// Whether it runs still.
+    /// Returns whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
--- a/tests/relay/mod.rs
+++ b/tests/relay/mod.rs
@@ -1,5 +1,5 @@
-//! Balancers of one group as real processes, with a relay on every link between two of them, one for each way: it drops,
-//! doubles, delays and cuts.
+//! Runs a group of balancers as real processes, with a datagram relay for each direction between two of them. The
+//! relays can drop, duplicate, delay and cut traffic.
 #![allow(dead_code)]
 
 #[path = "../../lab/src/fleet/checker.rs"]
@@ -27,7 +27,7 @@
     line_address: Option<SocketAddr>,
 }
 
-/// The group.
+/// A running group of balancers. Dropping it kills the processes and deletes their files.
 pub struct Group {
     dir: PathBuf,
     discovery: Discovery,
@@ -35,25 +35,26 @@
     links: Vec<Vec<Arc<Way>>>,
     stopped: Arc<AtomicBool>,
     processes: Vec<Process>,
-    /// All that all have logged: who, and what.
+    /// Log lines of all processes, each with the number of its process.
     log: Arc<Mutex<Vec<(usize, String)>>>,
     clock_rates: Vec<f64>,
     log_format: &'static str,
-    /// By how much each write of a voter is late, in milliseconds.
+    /// Delay of each storage write of a voter, in milliseconds, for processes started from now on.
     pub write_delay_ms: u64,
 }
 
-/// A lease's span, in milliseconds.
+/// Duration of a lease, in milliseconds.
 pub const LEASE_SPAN_MS: u64 = 1_500;
+/// Limit on each wait for an expected event; it only ends a test that would hang.
 const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Group {
-    /// So many processes, the first three of which vote.
+    /// Starts `process_count` processes, the first three of which are voters.
     pub fn start(name: &str, process_count: usize, instance: SocketAddr, clock_rates: &[f64]) -> Group {
         Group::start_with(name, process_count, instance, clock_rates, "", "text")
     }
 
-    /// With more in the operator's file, and a log in this format.
+    /// Like `start`, with more text in the operator file and the given log format.
     pub fn start_with(
         name: &str,
         process_count: usize,
@@ -115,7 +116,7 @@
         group
     }
 
-    /// Makes a voter's folder: of a new group, or of one that takes another's place.
+    /// Creates the folder of a voter of a new group, or of one that replaces another voter.
     pub fn create_voter_folder(&self, i: usize, replaced_voter: Option<usize>) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_oakdeal"));
         command.args(["group", "found", "--name", &format!("n{i}"), "--operator"]);
@@ -127,17 +128,17 @@
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     }
 
-    /// A voter's folder.
+    /// Returns the path of a voter's folder.
     pub fn voter_folder(&self, i: usize) -> PathBuf {
         self.dir.join(format!("folder-{i}"))
     }
 
-    /// All that was logged, by all.
+    /// Returns the log lines of all processes, each with the number of its process.
     pub fn log(&self) -> Vec<(usize, String)> {
         self.log.lock().unwrap().clone()
     }
 
-    /// Starts one, or starts it again with what it has kept.
+    /// Starts a process, or restarts it with its stored data, and waits until it serves.
     pub fn start_process(&mut self, i: usize) {
         let config = format!(
             r#"{{"name":"n{i}","listen":"127.0.0.1:0","discovery":"{}","seed":"{i}","limits":{{"sockets":512}},"known":{},"settings":{SETTINGS}}}"#,
@@ -165,7 +166,7 @@
         });
         self.processes[i].child = Some(child);
         let address = |what: &str| {
-            let line = self.wait_for_log(log_start, &|who, line| who == i && line.contains(what));
+            let line = self.wait_for_log(log_start, &|process, line| process == i && line.contains(what));
             let rest = line.split(what).nth(1).unwrap();
             rest.split(|c: char| !c.is_ascii_digit() && c != '.' && c != ':').next().unwrap().parse().unwrap()
         };
@@ -186,7 +187,7 @@
         child.wait().unwrap();
     }
 
-    /// Each way from one of these to one of those.
+    /// Applies `change` to the links from each of `from` to each of `to`.
     pub fn change_links(&self, from: &[usize], to: &[usize], change: impl Fn(&Way)) {
         from.iter().for_each(|&i| to.iter().for_each(|&j| change(&self.links[i][j])));
     }
@@ -207,55 +208,66 @@
             .receive_rest()
     }
 
-    /// How many members this one sees.
+    /// Returns the number of members that process `i` sees.
     pub fn visible_members(&self, i: usize) -> usize {
         self.group_status(i).lines().filter(|line| line.starts_with("member ")).count()
     }
 
-    /// How much has been logged.
+    /// Returns the number of lines logged so far by all processes.
     pub fn log_length(&self) -> usize {
         self.log.lock().unwrap().len()
     }
 
-    /// Waits for a line that was logged behind this mark.
+    /// Waits for a line at index `since` or later that `wanted` accepts, and returns it.
     pub fn wait_for_log(&self, since: usize, wanted: &dyn Fn(usize, &str) -> bool) -> String {
         let deadline = Instant::now() + HANG_TIMEOUT;
         loop {
             let found = self.log.lock().unwrap()[since..].iter().find(|(i, line)| wanted(*i, line)).cloned();
             match found {
                 Some((_, line)) => return line,
-                None => assert!(Instant::now() < deadline, "not logged; last: {:#?}", self.last_log_lines()),
+                None => assert!(
+                    Instant::now() < deadline,
+                    "expected line was not logged; last lines: {:#?}",
+                    self.last_log_lines()
+                ),
             }
             thread::sleep(Duration::from_millis(5));
         }
     }
 
+    /// Returns the last 40 log lines, without those of acts.
     fn last_log_lines(&self) -> Vec<(usize, String)> {
         let log = self.log.lock().unwrap();
         let lines: Vec<_> = log.iter().filter(|(_, line)| !line.contains("oakdeal::act")).cloned().collect();
         lines[lines.len().saturating_sub(40)..].to_vec()
     }
 
+    /// Waits until `done` holds and returns the waiting time.
     pub fn wait_until(&self, what: &str, done: impl Fn(&Group) -> bool) -> Duration {
         let started = Instant::now();
         while !done(self) {
-            assert!(started.elapsed() < HANG_TIMEOUT, "{what} did not come: {:#?}", self.last_log_lines());
+            assert!(
+                started.elapsed() < HANG_TIMEOUT,
+                "timed out waiting for {what}; last log lines: {:#?}",
+                self.last_log_lines()
+            );
             thread::sleep(Duration::from_millis(10));
         }
         started.elapsed()
     }
 
-    /// Who takes the task next, behind this mark.
+    /// Waits for the first process to log, at index `since` or later, that it holds the lease of the rebalance task;
+    /// returns the process and the waiting time.
     pub fn wait_for_lease_holder(&self, since: usize) -> (usize, Duration) {
         let started = Instant::now();
         self.wait_for_log(since, &|_, line| line.contains("rebalance is ours under token"));
         let log = self.log.lock().unwrap();
-        let who =
+        let process =
             log[since..].iter().find(|(_, line)| line.contains("rebalance is ours under token")).unwrap().0;
-        (who, started.elapsed())
+        (process, started.elapsed())
     }
 
-    /// All acts, as whoever acted and all who heard of it saw them.
+    /// Returns all acts, as logged by the process that acted and by each that received them.
     pub fn acts(&self) -> Vec<Act> {
         let log = self.log.lock().unwrap();
         log.iter().filter_map(|(witness, line)| Act::read(*witness, line)).collect()
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -10,45 +10,63 @@
 /// Guards against a flood of one team that takes the contracts of others.
 #[test]
 fn a_flood_of_ten_times_a_contract_leaves_other_teams_95_percent_of_their_service() {
-    let operator = contracts(60, &[("north", 20, ""), ("east", 20, ""), ("south", 20, "")]);
-    let life = Duration::from_millis(900);
-    let quiet = |team| Habit { life, ..habit(team, 20) };
+    let operator = contracts_file(60, &[("north", 20, ""), ("east", 20, ""), ("south", 20, "")]);
+    let connection_lifetime = Duration::from_millis(900);
+    let quiet = |team| ClientBehavior { connection_lifetime, ..client_behavior(team, 20) };
     let run = |flood: usize| {
-        let balancer = Balancer::start(&Discovery::without_updates(), &servers(), Some(&operator));
+        let balancer = Balancer::start(&Discovery::without_updates(), &echo_instances(), Some(&operator));
         // The flooding clients retry after a tenth of a second at the latest, whatever retry-after they get.
-        let flood = Habit { life, patience: Duration::from_millis(100), ..habit("south", flood) };
+        let flood = ClientBehavior {
+            connection_lifetime,
+            max_retry_wait: Duration::from_millis(100),
+            ..client_behavior("south", flood)
+        };
         let teams = [(0, quiet("north")), (0, quiet("east")), (300, flood)];
-        play(balancer.line_address, &teams, Duration::from_secs(5), |_, _| ())
+        run_clients(balancer.line_address, &teams, Duration::from_secs(5), |_, _| ())
     };
     let (without_flood, with_flood) = (run(0), run(200));
     for team in ["north", "east"] {
-        let kept = with_flood[team].seconds / without_flood[team].seconds;
+        let kept = with_flood[team].connected_seconds / without_flood[team].connected_seconds;
         assert!(kept >= 0.95, "{team} kept {kept:.3}: {:?} of {:?}", with_flood[team], without_flood[team]);
-        assert_eq!((with_flood[team].cut, with_flood[team].moved), (0, 0), "{:?}", with_flood[team]);
+        assert_eq!(
+            (with_flood[team].unexpected_ends, with_flood[team].moved),
+            (0, 0),
+            "{:?}",
+            with_flood[team]
+        );
     }
     assert!(with_flood["south"].busy > 1000, "it was a flood: {:?}", with_flood["south"]);
-    assert!(with_flood["south"].seconds >= 0.8 * 20.0 * 4.7, "{:?}", with_flood["south"]);
+    assert!(with_flood["south"].connected_seconds >= 0.8 * 20.0 * 4.7, "{:?}", with_flood["south"]);
 }
 
 /// Guards against capacity that stays unused, and against a team that waits too long for its own contract.
 #[test]
 fn idle_capacity_is_lent_and_returned_within_two_seconds_and_the_account_matches_the_clients() {
-    let operator = contracts(60, &[("north", 20, ""), ("east", 20, ""), ("idle", 20, "")]);
-    let balancer =
-        Balancer::start_with(&Discovery::without_updates(), &servers(), Some(&operator), SETTINGS, "json");
+    let operator = contracts_file(60, &[("north", 20, ""), ("east", 20, ""), ("idle", 20, "")]);
+    let balancer = Balancer::start_with(
+        &Discovery::without_updates(),
+        &echo_instances(),
+        Some(&operator),
+        SETTINGS,
+        "json",
+    );
     let mut lent = 0;
-    let teams = [(0, habit("east", 20)), (0, habit("north", 200)), (2_500, habit("idle", 20))];
+    let teams = [
+        (0, client_behavior("east", 20)),
+        (0, client_behavior("north", 200)),
+        (2_500, client_behavior("idle", 20)),
+    ];
     let started = Instant::now();
-    let seen = play(balancer.line_address, &teams, Duration::from_secs(6), |at, book| {
+    let seen = run_clients(balancer.line_address, &teams, Duration::from_secs(6), |at, book| {
         if at < Duration::from_millis(2_400) {
-            lent = book.borrow().get("north").map_or(0, |s| s.held);
+            lent = book.borrow().get("north").map_or(0, |s| s.open_connections);
         }
     });
     assert!(lent >= 20 + 18, "90% of the twenty that were idle: {lent}");
-    let (most, last) = seen["idle"].most;
+    let (most, last) = seen["idle"].peak;
     let took = last.unwrap() - started - Duration::from_millis(2_500);
     assert!(most == 20 && took <= Duration::from_secs(2), "{most} after {took:?}: {:?}", seen["idle"]);
-    assert!(seen.values().all(|s| s.cut == 0), "no connection was closed by force: {seen:?}");
+    assert!(seen.values().all(|s| s.unexpected_ends == 0), "no connection was closed by force: {seen:?}");
     assert!(seen["north"].moved >= 18 && seen["east"].moved == 0 && seen["idle"].moved == 0, "{seen:?}");
     // All clients have left: the account must match their own counts.
     let log = balancer.terminate_and_read_log();
@@ -75,7 +93,11 @@
         let asked = row.split_whitespace().nth(1).map(str::parse);
         assert_eq!(asked, Some(Ok(seen.asked)), "{table}");
         let used = account["used_s"].as_f64().unwrap();
-        assert!((used / seen.seconds - 1.0).abs() < 0.05, "{team}: {used} and {}", seen.seconds);
+        assert!(
+            (used / seen.connected_seconds - 1.0).abs() < 0.05,
+            "{team}: {used} and {}",
+            seen.connected_seconds
+        );
     }
 }
 
@@ -83,13 +105,16 @@
 /// broken file.
 #[test]
 fn a_contract_reduced_under_load_is_in_force_within_two_seconds_and_a_broken_file_changes_nothing() {
-    let file = |n| contracts(60, &[("north", n, "borrow = false"), ("east", 20, "")]);
-    let balancer = Balancer::start(&Discovery::without_updates(), &servers(), Some(&file(40)));
+    let file = |n| contracts_file(60, &[("north", n, "borrow = false"), ("east", 20, "")]);
+    let balancer = Balancer::start(&Discovery::without_updates(), &echo_instances(), Some(&file(40)));
     let (mut cut, mut broken, mut held) = (None, false, Vec::new());
-    let patience = Duration::from_millis(100);
-    let teams = [(0, Habit { patience, ..habit("north", 100) }), (0, habit("east", 20))];
-    let seen = play(balancer.line_address, &teams, Duration::from_secs(6), |at, book| {
-        let north = book.borrow().get("north").map_or(0, |s| s.held);
+    let max_retry_wait = Duration::from_millis(100);
+    let teams = [
+        (0, ClientBehavior { max_retry_wait, ..client_behavior("north", 100) }),
+        (0, client_behavior("east", 20)),
+    ];
+    let seen = run_clients(balancer.line_address, &teams, Duration::from_secs(6), |at, book| {
+        let north = book.borrow().get("north").map_or(0, |s| s.open_connections);
         if at > Duration::from_secs(1) && cut.is_none() {
             assert_eq!(north, 40, "its contract");
             balancer.reload_operator_file(&file(10));
@@ -104,7 +129,7 @@
         }
     });
     assert!(held.iter().all(|&n| n == 10) && held.len() > 10, "{held:?}");
-    assert!(seen["north"].moved == 30 && seen.values().all(|s| s.cut == 0), "{seen:?}");
+    assert!(seen["north"].moved == 30 && seen.values().all(|s| s.unexpected_ends == 0), "{seen:?}");
     assert_eq!((seen["east"].moved, seen["east"].busy), (0, 0), "{seen:?}");
     let change = balancer.wait_for_log("contract changed");
     assert!(change.contains("north") && change.contains("40") && change.contains("10"), "{change}");
