--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,5 @@
-//! Stories of daily operation: the door for operators and what can be asked there. The program itself between
-//! scripted peers on loopback sockets.
+//! End-to-end tests of the admin endpoint: drain, health checks and metrics. The balancer process runs between scripted
+//! peers on loopback sockets.
 
 mod peers;
 use peers::*;
@@ -7,69 +7,75 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-fn echoing() -> Vec<String> {
-    let (told, _) = channel();
-    vec![list_entry("s-00000001", echo_instance("a", told), "ready")]
+fn echo_instances() -> Vec<String> {
+    let (report_sender, _) = channel();
+    vec![list_entry("s-00000001", echo_instance("a", report_sender), "ready")]
 }
 
-fn stand(balancer: &Balancer, id: &str) -> LineConnection {
+fn establish(balancer: &Balancer, id: &str) -> LineConnection {
     let mut client = balancer.connect_client();
     assert_eq!(client.send_text(&format!("OPEN {id} 2 c=watch,d=2000\r\n")).receive_line(), "UP 1");
     client
 }
 
-/// Guards against a drain that holds a client, refuses one that arrives in its first moments, or cannot be taken
-/// back; and against words out of their turn doing harm.
+/// Guards against a drain that keeps a client, rejects one that arrives in its first moments, or cannot be cancelled;
+/// and against harm from commands that arrive in an unexpected order.
 #[test]
-fn a_drain_says_no_moves_all_who_stand_serves_who_comes_and_join_ends_it() {
-    let balancer = Balancer::start_with_admin(&Discovery::without_updates(), &echoing(), None);
-    assert_eq!(balancer.admin_command("JOIN\r\n"), "200 ready\r\n", "without LEAVE it changes nothing");
+fn a_drain_answers_no_moves_established_clients_serves_new_ones_and_is_ended_by_join() {
+    let balancer = Balancer::start_with_admin(&Discovery::without_updates(), &echo_instances(), None);
+    assert_eq!(
+        balancer.admin_command("JOIN\r\n"),
+        "200 ready\r\n",
+        "without a preceding LEAVE, JOIN changes nothing"
+    );
     let mut kept = balancer.connect_client();
     assert_eq!(kept.send_text("PING\r\n").receive_line(), "PONG");
-    let mut standing: Vec<LineConnection> = (0..50).map(|i| stand(&balancer, &format!("old-{i}"))).collect();
+    let mut established: Vec<LineConnection> =
+        (0..50).map(|i| establish(&balancer, &format!("old-{i}"))).collect();
     for _ in 0..2 {
         assert_eq!(balancer.admin_command("LEAVE\r\n"), "200 draining\r\n");
     }
     assert!(balancer.admin_command("HEALTH\r\n").starts_with("400 "));
     assert_eq!(kept.send_text("PING\r\n").receive_line(), "NO");
     assert_eq!(balancer.connect_client().send_text("PING\r\n").receive_line(), "NO");
-    standing.push(stand(&balancer, "late"));
+    established.push(establish(&balancer, "late"));
     assert_eq!(kept.send_text("OPEN kept 2 c=watch,d=2000\r\n").receive_line(), "UP 1");
-    standing.push(kept);
-    let moved = |clients: &mut [LineConnection]| {
+    established.push(kept);
+    let expect_moved = |clients: &mut [LineConnection]| {
         for client in clients {
             assert_eq!((client.receive_line().as_str(), client.receive_line().as_str()), ("MOVE", "END"));
         }
     };
-    // Somebody comes back in the middle of it: who was not asked by then stays.
-    moved(&mut standing[..10]);
+    // JOIN during the drain: clients that have not been moved by then stay.
+    expect_moved(&mut established[..10]);
     assert_eq!(balancer.admin_command("JOIN\r\n"), "200 ready\r\n");
     assert_eq!(balancer.admin_command("HEALTH\r\n"), "200 ready\r\n");
     assert_eq!(balancer.connect_client().send_text("PING\r\n").receive_line(), "PONG");
-    let last = standing.last_mut().unwrap();
+    let last = established.last_mut().unwrap();
     assert_eq!(last.send_text("still here\r\n").receive_line(), "still here");
     assert_eq!(balancer.admin_command("LEAVE\r\n"), "200 draining\r\n");
-    moved(&mut standing[10..]);
-    // One who comes when all should be gone is moved at once.
-    let begun = Instant::now();
-    moved(&mut [stand(&balancer, "last")]);
-    assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
+    expect_moved(&mut established[10..]);
+    // A client that arrives after the end of the drain time is moved at once.
+    let started = Instant::now();
+    expect_moved(&mut [establish(&balancer, "last")]);
+    assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
     assert_eq!(balancer.admin_command("JOIN\r\n"), "200 ready\r\n");
-    assert_eq!(stand(&balancer, "new").send_text("served\r\n").receive_line(), "served");
+    assert_eq!(establish(&balancer, "new").send_text("served\r\n").receive_line(), "served");
 }
 
-/// Guards against a program that comes back from SIGTERM, or that holds longer whom a drain had to move.
+/// Guards against a process that rejoins after SIGTERM, and against SIGTERM extending a drain that is under way.
 #[test]
-fn sigterm_in_mid_drain_ends_it_in_time_and_join_is_refused() {
-    let mut balancer = Balancer::start_with_admin(&Discovery::without_updates(), &echoing(), None);
-    let mut standing: Vec<LineConnection> = (0..20).map(|i| stand(&balancer, &format!("{i}"))).collect();
+fn sigterm_during_a_drain_ends_the_process_in_time_and_join_is_rejected() {
+    let mut balancer = Balancer::start_with_admin(&Discovery::without_updates(), &echo_instances(), None);
+    let mut established: Vec<LineConnection> =
+        (0..20).map(|i| establish(&balancer, &format!("{i}"))).collect();
     balancer.admin_command("LEAVE\r\n");
     balancer.terminate();
     balancer.wait_for_log("leaving");
     assert!(balancer.admin_command("JOIN\r\n").starts_with("400 "));
     assert!(balancer.admin_command("HEALTH\r\n").starts_with("400 "));
     assert_eq!(balancer.admin_command("LEAVE\r\n"), "200 draining\r\n");
-    for client in &mut standing {
+    for client in &mut established {
         assert_eq!((client.receive_line().as_str(), client.receive_line().as_str()), ("MOVE", "END"));
     }
     balancer.wait_for_log("left with 0 connections in hand");
@@ -78,29 +84,29 @@
     }
 }
 
-/// Reads the figures until these lines are among them: what has just happened may be counted a moment later.
-fn figures(balancer: &Balancer, wanted: &[&str]) {
-    let until = Instant::now() + Duration::from_secs(10);
+/// Reads the metrics until they contain these lines: an event may be counted a moment after it happened.
+fn await_metrics(balancer: &Balancer, wanted: &[&str]) {
+    let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         let text = balancer.admin_command("DUMP\r\n");
         assert!(text.starts_with("200 ") && text.ends_with("\r\nEOF\r\n"), "{text}");
         let missing = wanted.iter().find(|line| !text.lines().any(|l| l == **line));
         match missing {
             None => return,
-            Some(line) => assert!(Instant::now() < until, "{line} is not in {text}"),
+            Some(line) => assert!(Instant::now() < deadline, "{line} is not in {text}"),
         }
     }
 }
 
-/// Guards against a figure that is reconstructed: each is what clients and instances saw themselves.
+/// Guards against metrics that differ from what clients and instances observed themselves.
 #[test]
-fn figures_are_what_clients_and_instances_counted() {
-    let (told, heard) = channel();
-    let one = || {
-        let told = told.clone();
+fn metrics_match_what_clients_and_instances_counted() {
+    let (report_sender, reports) = channel();
+    let scripted_instance = || {
+        let report_sender = report_sender.clone();
         spawn_instance(move |mut peer| {
             let first = peer.receive_line();
-            let _ = told.send(());
+            let _ = report_sender.send(());
             match first.split(' ').nth(1).unwrap().split('-').next().unwrap() {
                 "full" => peer.send_text("BUSY\r\n"),
                 "slow" => &mut peer,
@@ -114,29 +120,33 @@
             while !matches!(peer.receive_line().as_str(), "END" | "RESET") {}
         })
     };
-    let list = [list_entry("s-00000001", one(), "ready"), list_entry("s-00000002", one(), "ready")];
+    let list = [
+        list_entry("s-00000001", scripted_instance(), "ready"),
+        list_entry("s-00000002", scripted_instance(), "ready"),
+    ];
     let discovery = Discovery::without_updates();
     let balancer = Balancer::start_with_admin(&discovery, &list, None);
-    figures(&balancer, &["lb.completed.watch:0|c", "lb.pending:0|g", "lb.members:2|g"]);
-    let ask = |id: &str| {
+    await_metrics(&balancer, &["lb.completed.watch:0|c", "lb.pending:0|g", "lb.members:2|g"]);
+    let send_open = |id: &str| {
         let mut client = balancer.connect_client();
         client.send_text(&format!("OPEN {id} 2 c=watch,d=2000\r\n"));
         client
     };
-    let standing: Vec<LineConnection> = (0..7).map(|i| ask(&format!("up-{i}"))).collect();
-    let mut moved = ask("moved-1");
+    let established: Vec<LineConnection> = (0..7).map(|i| send_open(&format!("up-{i}"))).collect();
+    let mut moved = send_open("moved-1");
     assert_eq!(moved.receive_line(), "UP 1");
     assert_eq!(moved.send_text("go\r\n").receive_line(), "MOVE");
-    // Refused after both were tried; one that speaks too early and one whose id is in use fail; and one leaves.
+    // Three are rejected after attempts at both instances; one client that sends before its answer and one whose id is in
+    // use fail; and one client disconnects.
     for i in 0..3 {
-        assert!(ask(&format!("full-{i}")).receive_line().starts_with("BUSY"));
+        assert!(send_open(&format!("full-{i}")).receive_line().starts_with("BUSY"));
     }
-    let mut early = ask("slow-1");
-    (0..15).for_each(|_| heard.recv().unwrap());
+    let mut early = send_open("slow-1");
+    (0..15).for_each(|_| reports.recv().unwrap());
     assert_eq!(early.send_text("now\r\n").receive_line(), "ERR out of turn");
-    assert_eq!(ask("up-1").receive_line(), "ERR id in use");
-    drop(ask("slow-2"));
-    figures(
+    assert_eq!(send_open("up-1").receive_line(), "ERR id in use");
+    drop(send_open("slow-2"));
+    await_metrics(
         &balancer,
         &[
             "lb.completed.watch:8|c",
@@ -150,70 +160,78 @@
     let text = balancer.admin_command("DUMP\r\n");
     let attempts = text.lines().find_map(|l| l.strip_prefix("lb.upstream_requests.watch:")).unwrap();
     let attempts: usize = attempts.strip_suffix("|c").unwrap().parse().unwrap();
-    // Whoever left may have done so before it was sent anywhere.
-    assert!((sent..=sent + 1).contains(&attempts), "{attempts}, and instances heard {sent} or one more");
-    drop(standing);
+    // The client that disconnected may have done so before any attempt was made for it.
+    assert!(
+        (sent..=sent + 1).contains(&attempts),
+        "{attempts} attempts, but instances received {sent} or one more"
+    );
+    drop(established);
     discovery.next_request();
     discovery.push(&watch_line(2, &[list_entry("s-00000001", closed_address(), "draining")]));
-    figures(&balancer, &["lb.pending:0|g", "lb.members:2|g", "lb.members_unavailable:1|g"]);
+    await_metrics(&balancer, &["lb.pending:0|g", "lb.members:2|g", "lb.members_unavailable:1|g"]);
     discovery.push(&watch_line(3, &[list_entry("s-00000001", closed_address(), "gone")]));
-    figures(&balancer, &["lb.members:1|g", "lb.members_unavailable:0|g", "lb.completed.watch:8|c"]);
+    await_metrics(&balancer, &["lb.members:1|g", "lb.members_unavailable:0|g", "lb.completed.watch:8|c"]);
 }
 
-/// Guards against bad input that is obeyed, unanswered, or costs others anything.
+/// Guards against invalid input that is obeyed, left unanswered, or affects others.
 #[test]
-fn bad_calls_get_400_and_nothing_more() {
-    let mut balancer = Balancer::start_with_admin(&Discovery::without_updates(), &echoing(), None);
-    let door = balancer.admin_address.unwrap();
+fn invalid_commands_get_400_and_have_no_effect() {
+    let mut balancer = Balancer::start_with_admin(&Discovery::without_updates(), &echo_instances(), None);
+    let admin_address = balancer.admin_address.unwrap();
     let long = format!("{}\r\n", "H".repeat(5000));
     for bad in ["\r\n", "leave\r\n", "LEAVE now\r\n", " LEAVE\r\n", "LEAVE\r\nJOIN\r\n", "\u{1}\r\n", &long] {
         let answer = balancer.admin_command(bad);
         assert!(answer.starts_with("400 ") && answer.lines().count() == 1, "{bad:.20?}: {answer:?}");
     }
-    let mut bytes = LineConnection::connect(door);
+    let mut bytes = LineConnection::connect(admin_address);
     std::io::Write::write_all(&mut bytes.stream, b"\xff\xfe\r\n").unwrap();
     assert!(bytes.receive_rest().starts_with("400 "));
-    // Half a line and its end, an end without a line, and half a line a byte at a time.
-    let mut half = LineConnection::connect(door);
+    // A partial line and a close, a close without a line, and a line sent byte by byte.
+    let mut half = LineConnection::connect(admin_address);
     half.send_text("LEA").stream.shutdown(Shutdown::Write).unwrap();
     assert!(half.receive_rest().starts_with("400 "));
-    let mut none = LineConnection::connect(door);
+    let mut none = LineConnection::connect(admin_address);
     none.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(none.receive_rest(), "");
-    let mut slow = LineConnection::connect(door);
+    let mut slow = LineConnection::connect(admin_address);
     "HEALTH\r\n".chars().for_each(|c| {
         slow.send_text(&c.to_string());
     });
-    assert_eq!(slow.receive_rest(), "200 ready\r\n", "nothing of all this took it out");
+    assert_eq!(slow.receive_rest(), "200 ready\r\n", "none of this put it out of service");
     assert!(balancer.is_running());
 }
 
-/// Guards against silent callers who shut the door for others, or take what clients need.
+/// Guards against silent connections that block the admin endpoint for others or use up what clients need.
 #[test]
-fn a_thousand_silent_callers_and_a_full_lobby_keep_nobody_out() {
-    let balancer = Balancer::start_with_admin(&Discovery::without_updates(), &echoing(), None);
-    let to = |address: SocketAddr, text: &'static str| {
+fn a_thousand_silent_admin_connections_and_many_idle_clients_block_nobody() {
+    let balancer = Balancer::start_with_admin(&Discovery::without_updates(), &echo_instances(), None);
+    let connect_silent = |address: SocketAddr, text: &'static str| {
         move |_| {
             let mut silent = LineConnection::connect(address);
             silent.send_text(text);
             silent
         }
     };
-    let mut all: Vec<LineConnection> = (0..1000).map(to(balancer.admin_address.unwrap(), "HEAL")).collect();
-    all.extend((0..300).map(to(balancer.line_address, "OPEN half")));
+    let mut silent_connections: Vec<LineConnection> =
+        (0..1000).map(connect_silent(balancer.admin_address.unwrap(), "HEAL")).collect();
+    silent_connections.extend((0..300).map(connect_silent(balancer.line_address, "OPEN half")));
     for i in 0..50 {
-        let begun = Instant::now();
+        let started = Instant::now();
         assert_eq!(balancer.admin_command("HEALTH\r\n"), "200 ready\r\n");
-        assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
-        stand(&balancer, &format!("{i}"));
+        assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
+        establish(&balancer, &format!("{i}"));
     }
-    // Who sat longest was told so and had to go.
-    assert!(all[0].receive_rest().starts_with("BUSY") || all[0].receive_rest().is_empty());
+    // The oldest connection was closed to make room, with or without `BUSY`.
+    assert!(
+        silent_connections[0].receive_rest().starts_with("BUSY")
+            || silent_connections[0].receive_rest().is_empty()
+    );
 }
 
-/// Guards against a door that is somewhere else than said, and one that opens though nobody asked for it.
+/// Guards against an admin endpoint on another address than the configured one, and one that opens although none is
+/// configured.
 #[test]
-fn an_address_that_is_none_or_taken_is_said_at_the_start() {
+fn an_invalid_or_occupied_admin_address_is_reported_at_startup() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = Discovery::without_updates();
     for (address, message) in [
@@ -223,7 +241,7 @@
         let dir = std::env::temp_dir().join(format!("oakdeal-{}-{}", std::process::id(), address.len()));
         std::fs::create_dir_all(&dir).unwrap();
         let config = dir.join("config.json");
-        let list = watch_line(1, &echoing());
+        let list = watch_line(1, &echo_instances());
         let text = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","known":{list},"settings":{SETTINGS}}}"#,
             discovery.address
@@ -235,7 +253,7 @@
         assert!(out.status.code() == Some(1) && error.contains(message), "{error}");
         std::fs::remove_dir_all(dir).unwrap();
     }
-    let balancer = Balancer::start(&discovery, &echoing(), None);
+    let balancer = Balancer::start(&discovery, &echo_instances(), None);
     assert!(TcpStream::connect(balancer.line_address).is_ok());
     assert!(balancer.terminate_and_read_log().iter().all(|line| !line.contains("operators")));
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn echoing() -> Vec<String> {
-    let (told, _) = channel();
+fn echo_instances() -> Vec<String> {
+    let (report_sender, _) = channel();
     let names = ["s-00000001", "s-00000002"];
-    names.map(|name| list_entry(name, echo_instance(name, told.clone()), "ready")).to_vec()
+    names.map(|name| list_entry(name, echo_instance(name, report_sender.clone()), "ready")).to_vec()
 }
 
 fn socket() -> (TcpListener, SocketAddr) {
@@ -90,7 +90,7 @@
 #[test]
 fn three_versions_in_a_row_lose_nobody() {
     let (socket, at) = socket();
-    let (discovery, list) = (Discovery::without_updates(), echoing());
+    let (discovery, list) = (Discovery::without_updates(), echo_instances());
     let mut serving = Balancer::launch_with_socket(&discovery, &list, &socket);
     await_ready(&serving);
     let crowd = Crowd::come(at, 40);
@@ -99,7 +99,7 @@
         await_ready(&next);
         assert!(ready(&serving), "the old one serves until it is told to end");
         serving.terminate();
-        let begun = Instant::now();
+        let started = Instant::now();
         let arrivals: Vec<LineConnection> = (0..20)
             .map(|i| {
                 let mut client = LineConnection::connect(at);
@@ -114,7 +114,7 @@
         drop(arrivals);
         serving.wait_for_log("left with 0 connections in hand");
         await_end(&mut serving);
-        assert!(begun.elapsed() < Duration::from_millis(3_500), "{:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_millis(3_500), "{:?}", started.elapsed());
         serving = next;
     }
     assert!(crowd.leave() >= 3 * 40, "all who stood were moved each time");
@@ -126,11 +126,11 @@
 #[test]
 fn a_new_process_that_dies_before_its_yes_leaves_the_old_one_serving() {
     let (socket, at) = socket();
-    let list = echoing();
+    let list = echo_instances();
     // It answers the first watch and closes all others unanswered.
     let discovery = Discovery::new(vec![CHUNKED_RESPONSE.to_string() + &http_chunk("\n"), String::new()]);
-    let (told, _) = channel();
-    let only_old = [list_entry("s-00000001", echo_instance("a", told), "ready")];
+    let (report_sender, _) = channel();
+    let only_old = [list_entry("s-00000001", echo_instance("a", report_sender), "ready")];
     let old = Balancer::launch_with_socket(&discovery, &only_old, &socket).wait_until_serving();
     await_ready(&old);
     let new = Balancer::launch_with_socket(&discovery, &list, &socket);
@@ -150,7 +150,7 @@
 fn without_a_word_of_discovery_it_serves_by_the_list_that_it_was_given() {
     let (socket, at) = socket();
     let discovery = Discovery::new(vec![String::new()]);
-    let balancer = Balancer::launch_with_socket(&discovery, &echoing(), &socket);
+    let balancer = Balancer::launch_with_socket(&discovery, &echo_instances(), &socket);
     // Who comes before it serves waits in the queue and is not lost.
     let mut early = LineConnection::connect(at);
     early.send_text("OPEN early 1 c=watch,d=9000\r\n");
@@ -179,7 +179,7 @@
 #[test]
 fn what_stands_is_handed_over_once_and_what_was_left_from_before_is_not_taken_up() {
     let ((socket, at), folder) = (socket(), folder("once"));
-    let (discovery, list) = (Discovery::without_updates(), echoing());
+    let (discovery, list) = (Discovery::without_updates(), echo_instances());
     let file = folder.join("oakdeal-handover");
     std::fs::write(&file, "oakdeal-handover-0 from a crash").unwrap();
     let mut old = sharing(&discovery, &list, &socket, &folder).wait_until_serving();
@@ -219,7 +219,8 @@
 fn a_plain_stop_takes_who_still_comes() {
     let (socket, at) = socket();
     let mut balancer =
-        Balancer::launch_with_socket(&Discovery::without_updates(), &echoing(), &socket).wait_until_serving();
+        Balancer::launch_with_socket(&Discovery::without_updates(), &echo_instances(), &socket)
+            .wait_until_serving();
     await_ready(&balancer);
     let crowd = Crowd::come(at, 5);
     thread::sleep(Duration::from_millis(50));
--- a/tests/xmpp.rs
+++ b/tests/xmpp.rs
@@ -25,16 +25,16 @@
 }
 
 /// A server that takes a log-in, answers it so, and then sends each message back; it tells all that it hears.
-fn server(name: &'static str, answer: &str, told: Sender<(&'static str, String)>) -> SocketAddr {
+fn server(name: &'static str, answer: &str, report_sender: Sender<(&'static str, String)>) -> SocketAddr {
     let answer = answer.to_string();
     spawn_instance(move |mut peer| {
         let head = peer.receive_until("version='1.0'") + &peer.receive_until(">");
         peer.send_text(OPENING).send_text(FEATURES);
         let login = peer.receive_until("</auth>");
-        let _ = told.send((name, format!("{head}{login}")));
+        let _ = report_sender.send((name, format!("{head}{login}")));
         peer.send_text(&answer);
         if answer != SUCCESS {
-            let _ = told.send((name, peer.receive_rest()));
+            let _ = report_sender.send((name, peer.receive_rest()));
             return;
         }
         let _ = peer.receive_until("'http://etherx.jabber.org/streams'>");
@@ -42,16 +42,16 @@
         loop {
             let stanza = peer.receive_until(">");
             if stanza.contains("</stream:stream>") {
-                let _ = told.send((name, stanza));
+                let _ = report_sender.send((name, stanza));
                 peer.send_text("</stream:stream>");
                 return;
             }
             if stanza.starts_with("<stream:error>") {
-                let _ = told.send((name, stanza + &peer.receive_until("</stream:stream>")));
+                let _ = report_sender.send((name, stanza + &peer.receive_until("</stream:stream>")));
                 return;
             }
             let stanza = stanza + &peer.receive_until(">");
-            let _ = told.send((name, stanza.clone()));
+            let _ = report_sender.send((name, stanza.clone()));
             peer.send_text(&stanza);
         }
     })
@@ -85,8 +85,8 @@
 /// Guards against a process that shares the other front's socket and ends while XMPP clients still stand.
 #[test]
 fn a_process_that_ends_early_waits_for_xmpp_clients_too() {
-    let (told, _) = channel();
-    let at = server("a", SUCCESS, told);
+    let (report_sender, _) = channel();
+    let at = server("a", SUCCESS, report_sender);
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let text = file(&[("s-00000001", at)], "");
     let list = [list_entry("s-00000001", closed_address(), "ready")];
@@ -103,9 +103,9 @@
 /// Guards against a front whose commands are not counted, or twice.
 #[test]
 fn figures_count_xmpp_like_text() {
-    let (told, _) = channel();
-    let a = server("a", SUCCESS, told.clone());
-    let full = server("full", &(failure("temporary-auth-failure") + "</stream:stream>"), told);
+    let (report_sender, _) = channel();
+    let a = server("a", SUCCESS, report_sender.clone());
+    let full = server("full", &(failure("temporary-auth-failure") + "</stream:stream>"), report_sender);
     let count = |at: SocketAddr, users: usize| {
         let name = "s-00000001";
         let list = [list_entry(name, closed_address(), "ready")];
@@ -135,15 +135,15 @@
 /// all passed on unchanged, and at the end everybody is told before being cut off.
 #[test]
 fn xmpp_and_text_clients_share_one_balancer_and_every_rule_holds_for_both() {
-    let (told, heard) = channel();
+    let (report_sender, reports) = channel();
     let lines = [
-        echo_instance("a", told.clone()),
-        echo_instance("b", told.clone()),
-        echo_instance("full", told.clone()),
+        echo_instance("a", report_sender.clone()),
+        echo_instance("b", report_sender.clone()),
+        echo_instance("full", report_sender.clone()),
     ];
-    let a = server("a", SUCCESS, told.clone());
-    let b = server("b", SUCCESS, told.clone());
-    let full = server("full", &(failure("temporary-auth-failure") + "</stream:stream>"), told);
+    let a = server("a", SUCCESS, report_sender.clone());
+    let b = server("b", SUCCESS, report_sender.clone());
+    let full = server("full", &(failure("temporary-auth-failure") + "</stream:stream>"), report_sender);
     let names = ["s-00000001", "s-00000002", "s-00000003"];
     let list: Vec<String> = names.iter().zip(lines).map(|(name, at)| list_entry(name, at, "ready")).collect();
     let discovery = Discovery::without_updates();
@@ -173,7 +173,7 @@
         assert_eq!(text.receive_line(), "MOVE");
         assert_eq!(text.receive_line(), "END");
     }
-    let told: Vec<_> = heard.try_iter().collect();
+    let told: Vec<_> = reports.try_iter().collect();
     assert!(told.iter().all(|(name, _)| *name != "a"), "nothing new to what drains");
     // The instance that is full sees each log-in once, whole, and its nack is not the client's answer.
     let tries = |name: &str| told.iter().filter(|(n, what)| *n == name && what.contains("<auth")).count();
@@ -183,8 +183,9 @@
 
 #[test]
 fn who_is_let_in_by_nobody_is_told_when_to_come_back_and_who_is_refused_is_refused_once() {
-    let (told, heard) = channel();
-    let nack = |name| server(name, &(failure("temporary-auth-failure") + "</stream:stream>"), told.clone());
+    let (report_sender, reports) = channel();
+    let nack =
+        |name| server(name, &(failure("temporary-auth-failure") + "</stream:stream>"), report_sender.clone());
     let list = [
         list_entry("s-00000001", closed_address(), "ready"),
         list_entry("s-00000002", closed_address(), "ready"),
@@ -201,11 +202,11 @@
         "{answer}"
     );
     assert!(answer.ends_with("</stream:stream>"));
-    let told_of: Vec<_> = heard.try_iter().filter(|(_, what)| what.contains("<auth")).collect();
+    let told_of: Vec<_> = reports.try_iter().filter(|(_, what)| what.contains("<auth")).collect();
     assert!(told_of.len() == 2 && told_of[0].0 != told_of[1].0, "each was asked once: {told_of:?}");
 
-    let (told, heard) = channel();
-    let refuses = |name| server(name, &failure("not-authorized"), told.clone());
+    let (report_sender, reports) = channel();
+    let refuses = |name| server(name, &failure("not-authorized"), report_sender.clone());
     let (x, y) = (refuses("x"), refuses("y"));
     let balancer = Balancer::start(
         &Discovery::without_updates(),
@@ -214,7 +215,7 @@
     );
     let answer = log_in(&balancer, "ana").receive_rest();
     assert!(answer.contains(&failure("not-authorized")) && answer.ends_with("</stream:stream>"), "{answer}");
-    assert_eq!(heard.try_iter().filter(|(_, what)| what.contains("<auth")).count(), 1);
+    assert_eq!(reports.try_iter().filter(|(_, what)| what.contains("<auth")).count(), 1);
 }
 
 #[test]
@@ -223,20 +224,20 @@
     let list = [list_entry("s-00000001", closed_address(), "ready")];
     let balancer =
         Balancer::start(&Discovery::without_updates(), &list, Some(&file(&[("s-00000001", silent)], "")));
-    let since = Instant::now();
+    let started = Instant::now();
     let answer = log_in(&balancer, "ana").receive_until("</stream:stream>");
     assert!(
         answer.contains("temporary-auth-failure") || answer.contains("remote-connection-failed"),
         "{answer}"
     );
-    assert!(since.elapsed() < Duration::from_millis(1500));
+    assert!(started.elapsed() < Duration::from_millis(1500));
 }
 
 /// Guards against a password sent in the clear where a certificate is configured.
 #[test]
 fn with_a_certificate_tls_comes_first_and_then_all_as_without() {
     use tokio_rustls::rustls::{ClientConfig, ClientConnection, RootCertStore, StreamOwned};
-    let (told, _heard) = channel();
+    let (report_sender, _reports) = channel();
     let made = rcgen::generate_simple_self_signed(["desk.example".to_string()]).unwrap();
     let dir = std::env::temp_dir().join(format!("oakdeal-tls-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -244,7 +245,7 @@
     std::fs::write(&certificate, made.cert.pem()).unwrap();
     std::fs::write(&key, made.signing_key.serialize_pem()).unwrap();
     let more = format!("certificate = {certificate:?}\nkey = {key:?}");
-    let file = file(&[("s-00000001", server("a", SUCCESS, told))], &more);
+    let file = file(&[("s-00000001", server("a", SUCCESS, report_sender))], &more);
     let list = [list_entry("s-00000001", closed_address(), "ready")];
     let balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&file));
 
@@ -283,18 +284,18 @@
 /// half a stanza reaching the instance.
 #[test]
 fn a_stream_that_stalls_within_a_stanza_after_its_log_in_is_ended_and_no_half_stanza_passed_on() {
-    let (told, heard) = channel();
+    let (report_sender, reports) = channel();
     let list = [list_entry("s-00000001", closed_address(), "ready")];
-    let file = file(&[("s-00000001", server("a", SUCCESS, told))], "stall = \"300ms\"");
+    let file = file(&[("s-00000001", server("a", SUCCESS, report_sender))], "stall = \"300ms\"");
     let balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&file));
     let mut client = stand(&balancer, "ana");
-    heard.recv().unwrap();
+    reports.recv().unwrap();
     client.send_text("<message id='1'>whole</message>").receive_until("</message>");
-    assert_eq!(heard.recv().unwrap().1, "<message id='1'>whole</message>");
+    assert_eq!(reports.recv().unwrap().1, "<message id='1'>whole</message>");
     client.send_text("<message id='2'>ha");
     let last = client.receive_until("</stream:stream>");
     assert!(last.contains("<connection-timeout xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>"), "{last}");
-    assert_eq!(heard.recv().unwrap().1, "</stream:stream>", "its stream is ended in order");
+    assert_eq!(reports.recv().unwrap().1, "</stream:stream>", "its stream is ended in order");
     // One that merely says nothing between two stanzas may stay.
     let mut idle = stand(&balancer, "ben");
     assert!(idle
@@ -307,18 +308,20 @@
 /// The other hard case: guards against a stanza cut in two by a drain, and a drain that waits for ever.
 #[test]
 fn a_drain_lets_a_half_sent_stanza_end_within_its_bound_and_tells_both_sides() {
-    let (told, heard) = channel();
+    let (report_sender, reports) = channel();
     let list = [list_entry("s-00000001", closed_address(), "ready")];
-    let file =
-        file(&[("s-00000001", server("a", SUCCESS, told))], "finish = \"1s\"\nother_host = \"b.example\"");
+    let file = file(
+        &[("s-00000001", server("a", SUCCESS, report_sender))],
+        "finish = \"1s\"\nother_host = \"b.example\"",
+    );
     let balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&file));
     let (mut ends, mut hangs) = (stand(&balancer, "ana"), stand(&balancer, "ben"));
-    heard.recv().unwrap();
-    heard.recv().unwrap();
+    reports.recv().unwrap();
+    reports.recv().unwrap();
     for client in [&mut ends, &mut hangs] {
         client.send_text("<message id='0'>x</message>").receive_until("</message>");
         client.send_text("<message id='1'>ha");
-        heard.recv().unwrap();
+        reports.recv().unwrap();
     }
     balancer.terminate();
     balancer.wait_for_log("leaving");
@@ -327,7 +330,7 @@
         let last = client.receive_until("</stream:stream>");
         assert!(last.contains("streams'>b.example</see-other-host>"), "{last}");
     }
-    let mut told: Vec<String> = (0..3).map(|_| heard.recv().unwrap().1).collect();
+    let mut told: Vec<String> = (0..3).map(|_| reports.recv().unwrap().1).collect();
     told.sort();
     let close = told.iter().filter(|what| what.contains("</stream:stream>")).count();
     assert!(close == 2 && told.contains(&"<message id='1'>half</message>".to_string()), "{told:?}");
@@ -335,9 +338,9 @@
 
 #[test]
 fn what_the_rfc_forbids_and_who_is_unknown_ends_with_the_defined_error() {
-    let (told, _heard) = channel();
+    let (report_sender, _reports) = channel();
     let list = [list_entry("s-00000001", closed_address(), "ready")];
-    let file = file(&[("s-00000001", server("a", SUCCESS, told))], "max_stanza = 10000");
+    let file = file(&[("s-00000001", server("a", SUCCESS, report_sender))], "max_stanza = 10000");
     let mut balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&file));
     let big = format!("<message>{}", "x".repeat(20_000));
     let stray = OPENING.replace("desk.example", "other.example");
@@ -366,9 +369,9 @@
 /// that is cut off for it.
 #[test]
 fn what_the_xmpp_front_has_borrowed_is_given_back_to_an_owner_on_the_line_front_in_its_own_way() {
-    let (told, heard) = channel();
-    let lines = [list_entry("s-00000001", echo_instance("lines", told.clone()), "ready")];
-    let xmpp = file(&[("s-00000001", server("xmpp", SUCCESS, told))], "")
+    let (report_sender, reports) = channel();
+    let lines = [list_entry("s-00000001", echo_instance("lines", report_sender.clone()), "ready")];
+    let xmpp = file(&[("s-00000001", server("xmpp", SUCCESS, report_sender))], "")
         .replace("connections = 100", "connections = 1")
         + "[[team]]\nname = \"north\"\nconnections = 2\n[capacity]\nconnections = 3\n";
     let balancer = Balancer::start(&Discovery::without_updates(), &lines, Some(&xmpp));
@@ -398,59 +401,59 @@
         desks[0].send_text("<presence></presence>").receive_until("</presence>"),
         "<presence></presence>"
     );
-    drop(heard);
+    drop(reports);
 }
 
 /// A server that opens its stream only when it is told to; it tells when a stream has come, and then all that came after.
-fn slow(told: Sender<(&'static str, String)>) -> (SocketAddr, Sender<()>) {
+fn slow(report_sender: Sender<(&'static str, String)>) -> (SocketAddr, Sender<()>) {
     let (open, opened) = channel::<()>();
     let opened = std::sync::Mutex::new(opened);
     let address = spawn_instance(move |mut peer| {
         peer.receive_until("version='1.0'");
         peer.receive_until(">");
-        let _ = told.send(("slow", "came".into()));
+        let _ = report_sender.send(("slow", "came".into()));
         if opened.lock().unwrap().recv().is_ok() {
             let _ = peer.stream.write_all(format!("{OPENING}{FEATURES}").as_bytes());
-            let _ = told.send(("slow", peer.receive_rest()));
+            let _ = report_sender.send(("slow", peer.receive_rest()));
         }
     });
     (address, open)
 }
 
-/// Guards against a log-in that is sent to a server that has begun to drain while its stream was opened.
+/// Guards against a log-in that is sent to a server that has started to drain while its stream was opened.
 #[test]
 fn a_log_in_is_not_sent_to_a_server_that_drains_since_its_stream_was_asked_for() {
-    let (told, heard) = channel();
-    let (address, open) = slow(told);
+    let (report_sender, reports) = channel();
+    let (address, open) = slow(report_sender);
     let discovery = Discovery::without_updates();
     let list = [list_entry("s-00000001", address, "ready")];
     let operator = file(&[("s-00000001", address)], "");
     let balancer = Balancer::start(&discovery, &list, Some(&operator));
     discovery.next_request();
     let mut client = log_in(&balancer, "ana");
-    assert_eq!(heard.recv().unwrap().1, "came");
+    assert_eq!(reports.recv().unwrap().1, "came");
     discovery.push(&watch_line(2, &[list_entry("s-00000001", address, "draining")]));
     balancer.wait_for_log("is draining");
     open.send(()).unwrap();
-    assert!(!heard.recv().unwrap().1.contains("<auth"));
+    assert!(!reports.recv().unwrap().1.contains("<auth"));
     client.receive_until("temporary-auth-failure");
 }
 
 /// Guards against a log-in that is sent for a client that left in the turn in which the server's stream opened.
 #[test]
 fn a_log_in_whose_client_has_left_is_not_sent() {
-    let (told, heard) = channel();
-    let (address, open) = slow(told);
+    let (report_sender, reports) = channel();
+    let (address, open) = slow(report_sender);
     let list = [list_entry("s-00000001", address, "ready")];
     let operator = file(&[("s-00000001", address)], "");
     let balancer = Balancer::start(&Discovery::without_updates(), &list, Some(&operator));
     let client = log_in(&balancer, "ana");
-    assert_eq!(heard.recv().unwrap().1, "came");
+    assert_eq!(reports.recv().unwrap().1, "came");
     balancer.signal("-STOP");
     drop(client);
     open.send(()).unwrap();
     // What was written for it is in the program's buffers before it goes on: the other way has carried it.
     std::thread::sleep(Duration::from_millis(20));
     balancer.signal("-CONT");
-    assert!(!heard.recv().unwrap().1.contains("<auth"));
+    assert!(!reports.recv().unwrap().1.contains("<auth"));
 }
