--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,4 +1,4 @@
-//! A toy to try the balancer with: discovery and two session servers on loopback, which send every line back.
+//! Toy servers to try the balancer with: a discovery server and two echoing session servers on loopback.
 //!
 //! Start it, then the balancer with `LB_CONFIG=examples/try/config.json`; see README.md.
 
@@ -7,7 +7,8 @@
 use std::thread;
 use std::time::Duration;
 
-fn each(address: &'static str, serve: fn(&'static str, TcpStream) -> std::io::Result<()>) {
+/// Accepts connections on `address` and serves each in a separate thread.
+fn listen(address: &'static str, serve: fn(&'static str, TcpStream) -> std::io::Result<()>) {
     let listener = TcpListener::bind(address).unwrap_or_else(|e| panic!("cannot listen on {address}: {e}"));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -17,8 +18,8 @@
     println!("listening on {address}");
 }
 
-/// The watch: the whole list, then an empty line every two seconds.
-fn discovery(_: &'static str, mut stream: TcpStream) -> std::io::Result<()> {
+/// Answers a discovery watch with the full list, then sends an empty line every two seconds as a heartbeat.
+fn serve_discovery(_: &'static str, mut stream: TcpStream) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut line = String::new();
     while reader.read_line(&mut line)? > 2 {
@@ -38,7 +39,8 @@
     }
 }
 
-fn session(address: &'static str, mut stream: TcpStream) -> std::io::Result<()> {
+/// Answers `PING`, and `OPEN` with `UP`; then echoes every line until `bye`.
+fn serve_session(address: &'static str, mut stream: TcpStream) -> std::io::Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?).lines();
     let first = lines.next().transpose()?.unwrap_or_default();
     if !first.starts_with("OPEN ") {
@@ -56,9 +58,9 @@
 }
 
 fn main() {
-    each("127.0.0.1:8500", discovery);
-    each("127.0.0.1:3101", session);
-    each("127.0.0.1:3102", session);
+    listen("127.0.0.1:8500", serve_discovery);
+    listen("127.0.0.1:3101", serve_session);
+    listen("127.0.0.1:3102", serve_session);
     loop {
         thread::park();
     }
