--- a/tests/xmpp.rs
+++ b/tests/xmpp.rs
@@ -147,7 +147,7 @@
 /// Checks the rules for both protocols at once: one final answer per client, one attempt at a time, no new connections to
 /// a draining instance, unchanged relaying, and a notice to every client before it is disconnected at shutdown.
 #[test]
-fn xmpp_and_text_clients_share_one_balancer_and_every_rule_holds_for_both() {
+fn xmpp_and_line_clients_share_one_balancer_and_every_rule_holds_for_both() {
     let (report_sender, reports) = channel();
     let line_instances = [
         echo_instance("a", report_sender.clone()),
