--- a/lab/src/cli/compare.rs
+++ b/lab/src/cli/compare.rs
@@ -2,7 +2,7 @@
 
 use super::run::{all, named, under};
 use super::{seeds, table};
-use crate::scenario::plan::stream;
+use crate::scenario::plan::random_stream;
 use crate::virt::decider::Choice;
 use clap::Args;
 use rand::RngExt;
@@ -38,7 +38,7 @@
     if n < 2 {
         return (mean, f64::NEG_INFINITY, f64::INFINITY);
     }
-    let mut rng = stream(n as u64, "bootstrap");
+    let mut rng = random_stream(n as u64, "bootstrap");
     let mut means: Vec<f64> = (0..SAMPLES)
         .map(|_| (0..n).map(|_| differences[rng.random_range(0..n)]).sum::<f64>() / n as f64)
         .collect();
--- a/lab/src/cli/mod.rs
+++ b/lab/src/cli/mod.rs
@@ -105,7 +105,7 @@
         file.display(),
         scenario.fleet.servers,
         scenario.fleet.balancers,
-        scenario.standing(),
+        scenario.steady_connections(),
         scenario.fault.len()
     );
     Ok(true)
--- a/lab/src/live/balancers.rs
+++ b/lab/src/live/balancers.rs
@@ -1,9 +1,9 @@
-//! The balancers: real processes, their start, restart and end.
+//! The balancer processes of a live run: configuration, start, restart and end.
 
 use super::discovery::Discovery;
 use super::site::Site;
-use super::wire::Speaks;
-use crate::scenario::plan::Plan;
+use super::wire::Protocol;
+use crate::scenario::plan::Workload;
 use crate::scenario::Scenario;
 use crate::score::record::What;
 use crate::virt::engine::host_id;
@@ -17,24 +17,25 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-/// From SIGTERM to SIGKILL: the longest deadline counted as 3 s, and 0.7 s more.
-const TERM: Duration = Duration::from_millis(3_700);
-/// A balancer must answer within this.
-const READY: Duration = Duration::from_secs(10);
-/// The front takes nobody to a balancer from so long after its SIGTERM on.
-const CLOSED: Duration = Duration::from_millis(300);
+/// Time from SIGTERM to SIGKILL: the longest deadline, taken as 3 s, plus 0.7 s.
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3_700);
+/// Time in which a balancer must answer after its start.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after SIGTERM from which new clients are no longer sent to a balancer.
+const CLOSE_DELAY: Duration = Duration::from_millis(300);
 
 struct Balancer {
     child: RefCell<Option<Child>>,
     address: SocketAddr,
-    /// Where it speaks XMPP, where clients do.
+    /// Address for XMPP clients, if the scenario has any.
     xmpp: Option<SocketAddr>,
     zone: usize,
-    open: Cell<bool>,
+    /// Whether new clients are sent to it.
+    accepts_clients: Cell<bool>,
     settings: String,
 }
 
-/// All of them.
+/// All balancers of a live run.
 pub struct Balancers {
     program: PathBuf,
     folder: PathBuf,
@@ -44,61 +45,62 @@
 }
 
 impl Balancers {
-    /// Starts all and waits until they answer.
+    /// Starts all balancers and waits until they answer.
     pub async fn start(
         scenario: &Scenario,
-        plan: &Plan,
+        workload: &Workload,
         program: &Path,
         discovery: &Discovery,
         xmpp_servers: &[SocketAddr],
         seed: u64,
     ) -> Result<Balancers, String> {
         let folder = std::env::temp_dir().join(format!("oakdeal-lab-{}-{seed}", std::process::id()));
-        std::fs::create_dir_all(&folder).map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
-        let said = |e: std::io::Error| format!("cannot write a configuration: {e}");
+        std::fs::create_dir_all(&folder).map_err(|e| format!("cannot create {}: {e}", folder.display()))?;
+        let error = |e: std::io::Error| format!("cannot write a configuration: {e}");
         if let Some(text) = &scenario.operator {
-            std::fs::write(folder.join("oakdeal.toml"), text.get_ref()).map_err(said)?;
+            std::fs::write(folder.join("oakdeal.toml"), text.get_ref()).map_err(error)?;
         }
         let mut all = Vec::new();
-        for &zone in &plan.balancers {
-            // Addresses that are free now; nothing else takes loopback ports meanwhile.
-            let free = || {
-                let free = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
-                free.map_err(|e| format!("no free address: {e}"))
+        for &zone in &workload.balancers {
+            // The addresses are free now, and nothing else binds loopback ports before the balancers do.
+            let free_address = || {
+                let address = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
+                address.map_err(|e| format!("no free address: {e}"))
             };
-            let xmpp = if scenario.fleet.xmpp > 0.0 { Some(free()?) } else { None };
+            let xmpp = if scenario.fleet.xmpp > 0.0 { Some(free_address()?) } else { None };
             if let Some(at) = xmpp {
-                let text = xmpp_file(scenario, at, xmpp_servers);
-                std::fs::write(folder.join(format!("n{}.toml", all.len())), text).map_err(said)?;
+                let text = xmpp_operator_file(scenario, at, xmpp_servers);
+                std::fs::write(folder.join(format!("n{}.toml", all.len())), text).map_err(error)?;
             }
             all.push(Balancer {
                 child: RefCell::new(None),
-                address: free()?,
+                address: free_address()?,
                 xmpp,
                 zone,
-                open: Cell::new(true),
-                settings: scenario.settings(zone).to_string(),
+                accepts_clients: Cell::new(true),
+                settings: scenario.balancer_settings(zone).to_string(),
             });
         }
         let operator = scenario.operator.is_some();
         let balancers = Balancers { program: program.into(), folder, operator, seed, all };
         for n in 0..balancers.all.len() {
-            balancers.run(n, discovery).await?;
+            balancers.start_process(n, discovery).await?;
         }
         Ok(balancers)
     }
 
-    /// How many.
+    /// Returns the number of balancers.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no balancers.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    async fn run(&self, n: usize, discovery: &Discovery) -> Result<(), String> {
+    /// Starts a balancer's process and waits until it answers.
+    async fn start_process(&self, n: usize, discovery: &Discovery) -> Result<(), String> {
         let b = &self.all[n];
         let config = format!(
             r#"{{"name":"n{n}","listen":"{}","discovery":"{}","seed":"{:x}","limits":{{"sockets":1024}},"known":{},"settings":{}}}"#,
@@ -123,7 +125,7 @@
         command.stderr(log.map_err(|e| format!("cannot write a log: {e}"))?);
         let child = command.spawn().map_err(|e| format!("cannot start {}: {e}", self.program.display()))?;
         *b.child.borrow_mut() = Some(child);
-        let answers = async {
+        let answered = async {
             loop {
                 if let Ok(mut stream) = TcpStream::connect(b.address).await {
                     let mut line = String::new();
@@ -138,22 +140,25 @@
             }
         };
         let log = self.folder.join(format!("n{n}.log"));
-        tokio::time::timeout(READY, answers)
+        tokio::time::timeout(START_TIMEOUT, answered)
             .await
-            .map_err(|_| format!("balancer {n} does not answer; its log is {}", log.display()))
+            .map_err(|_| format!("balancer {n} does not answer; see its log {}", log.display()))
     }
 
-    /// A balancer for a client of this zone, by its draw.
-    pub fn pick(&self, zone: usize, draw: f64, speaks: Speaks) -> Option<(usize, SocketAddr)> {
-        let open = |near: bool| -> Vec<usize> {
+    /// Returns a balancer for a client of this zone: one in the zone if any accepts clients, else any other. `uniform` is a
+    /// random number from 0 to 1.
+    pub fn pick(&self, zone: usize, uniform: f64, protocol: Protocol) -> Option<(usize, SocketAddr)> {
+        let accepting = |in_zone: bool| -> Vec<usize> {
             let all = self.all.iter().enumerate();
-            all.filter(|(_, b)| b.open.get() && (!near || b.zone == zone)).map(|(n, _)| n).collect()
+            all.filter(|(_, b)| b.accepts_clients.get() && (!in_zone || b.zone == zone))
+                .map(|(n, _)| n)
+                .collect()
         };
-        let near = open(true);
-        let there = if near.is_empty() { open(false) } else { near };
-        there.get((draw * there.len() as f64) as usize).map(|&n| {
+        let in_zone = accepting(true);
+        let candidates = if in_zone.is_empty() { accepting(false) } else { in_zone };
+        candidates.get((uniform * candidates.len() as f64) as usize).map(|&n| {
             let b = &self.all[n];
-            (n, if speaks == Speaks::Xmpp { b.xmpp.unwrap_or(b.address) } else { b.address })
+            (n, if protocol == Protocol::Xmpp { b.xmpp.unwrap_or(b.address) } else { b.address })
         })
     }
 
@@ -163,16 +168,16 @@
         }
     }
 
-    /// A planned restart: SIGTERM, SIGKILL, and up again after a while.
+    /// Restarts a balancer as in a release: SIGTERM, SIGKILL, and a new process after `down`.
     pub async fn restart(&self, site: &Rc<Site>, discovery: &Discovery, n: usize, down: Micros) {
         self.signal(n, "-TERM");
-        tokio::time::sleep(CLOSED).await;
-        self.all[n].open.set(false);
-        tokio::time::sleep(TERM - CLOSED).await;
+        tokio::time::sleep(CLOSE_DELAY).await;
+        self.all[n].accepts_clients.set(false);
+        tokio::time::sleep(TERMINATION_TIMEOUT - CLOSE_DELAY).await;
         self.kill(site, discovery, n, down).await;
     }
 
-    /// It is killed, and up again after a while.
+    /// Kills a balancer and starts a new process after `down`.
     pub async fn kill(&self, site: &Rc<Site>, discovery: &Discovery, n: usize, down: Micros) {
         site.note(What::Died { node: n });
         *site.deaths.borrow_mut().entry(n).or_default() += 1;
@@ -181,21 +186,21 @@
             let _ = child.kill().await;
         }
         tokio::time::sleep(Duration::from_micros(down)).await;
-        self.all[n].open.set(false);
-        match self.run(n, discovery).await {
-            Ok(()) => self.all[n].open.set(true),
+        self.all[n].accepts_clients.set(false);
+        match self.start_process(n, discovery).await {
+            Ok(()) => self.all[n].accepts_clients.set(true),
             Err(e) => eprintln!("oakdeal-lab: {e}"),
         }
     }
 
-    /// Another operator's file is put in force.
-    pub fn operate(&self, text: &str) {
+    /// Replaces the operator's file and makes all balancers reload it.
+    pub fn reload_operator(&self, text: &str) {
         if std::fs::write(self.folder.join("oakdeal.toml"), text).is_ok() {
             (0..self.all.len()).for_each(|n| self.signal(n, "-HUP"));
         }
     }
 
-    /// Ends all.
+    /// Kills all balancers and deletes their files.
     pub async fn end(&self) {
         for b in &self.all {
             let child = b.child.borrow_mut().take();
@@ -207,8 +212,8 @@
     }
 }
 
-/// The XMPP front's section: a domain for each class, and where each server speaks it.
-fn xmpp_file(scenario: &Scenario, listen: SocketAddr, servers: &[SocketAddr]) -> String {
+/// Returns an operator's file with the `[xmpp]` section: one domain per class and the XMPP address of each server.
+fn xmpp_operator_file(scenario: &Scenario, listen: SocketAddr, servers: &[SocketAddr]) -> String {
     let instances =
         servers.iter().enumerate().map(|(s, at)| format!("\"s-{:08x}\" = \"{at}\"\n", host_id(s)));
     let service = |c: &crate::scenario::Class| {
--- a/lab/src/live/clients.rs
+++ b/lab/src/live/clients.rs
@@ -1,11 +1,11 @@
-//! The load tool's clients: each asks, stands, sends a line every two seconds and checks what comes back, and
-//! comes again as the protocol says.
+//! Clients of a live run. Each requests a connection, sends a line every two seconds, checks the echo, and reconnects
+//! as the protocol demands.
 
 use super::balancers::Balancers;
 use super::servers::Servers;
-use super::site::Site;
-use super::wire::{Answer, Heard, Wire};
-use crate::scenario::plan::{draw, wait, BREAK, MOVE};
+use super::site::{Site, FIRST_REQUESTS, MOVES};
+use super::wire::{Answer, Incoming, Wire};
+use crate::scenario::plan::{next_uniform, retry_delay, RECONNECT_AFTER_BREAK_US, RECONNECT_AFTER_MOVE_US};
 use crate::score::record::What;
 use oakdeal::Micros;
 use std::collections::VecDeque;
@@ -13,107 +13,119 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Every so often a line goes up.
-const BEAT: Duration = Duration::from_secs(2);
-/// A line that comes back later than this was held back, or its connection is ended or moved within the rule's 7 s.
-const HELD: Micros = 7_000_000;
-fn between(draws: &mut u64, (low, high): (f64, f64)) -> Micros {
-    (low + (high - low) * draw(draws)) as Micros
+/// Interval at which a client sends a line.
+const LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// Time in which a line must be echoed, or its connection be ended or moved, as the protocol's rules demand.
+const MAX_ECHO_DELAY: Micros = 7_000_000;
+
+fn uniform_delay(random_state: &mut u64, (low, high): (f64, f64)) -> Micros {
+    (low + (high - low) * next_uniform(random_state)) as Micros
 }
 
-/// How one request, and the connection that came of it, ended.
+/// End of a request or of the connection that it established.
 enum End {
-    /// It was refused or failed; come again no sooner than told.
-    No(Option<Micros>),
-    /// It stood and was moved.
+    /// The request was refused or failed; the delay that the answer demands before a retry.
+    NotServed(Option<Micros>),
+    /// The connection was established and moved.
     Moved,
-    /// It stood and broke.
+    /// The connection was established and broke.
     Broken,
-    /// It stood and was dropped by the client itself.
+    /// The connection was established and the client closed it early because of a fault.
     Dropped,
-    /// Its time is up.
+    /// The client's lifetime has ended.
     Done,
 }
 
-/// One client, from its first request to the end of its time.
-pub async fn client(site: Rc<Site>, balancers: Rc<Balancers>, servers: Servers, c: usize) {
-    let p = site.plan.clients[c].clone();
-    let until = p.at + p.life;
-    site.until(p.at).await;
+/// Runs one client from its first request to the end of its lifetime.
+pub async fn run_client(site: Rc<Site>, balancers: Rc<Balancers>, servers: Servers, c: usize) {
+    let client = site.workload.clients[c].clone();
+    let until = client.arrival + client.lifetime;
+    site.until(client.arrival).await;
     let cell = site.cell(c);
     site.wants.borrow_mut()[cell] += 1;
-    site.count(0);
-    let (mut draws, mut failed, mut again, mut tries) = (p.seed, 0u32, false, 0u32);
+    site.count(FIRST_REQUESTS);
+    let (mut random_state, mut failures, mut returned, mut requests) = (client.seed, 0u32, false, 0u32);
     while site.now() < until && !site.over.get() {
-        tries += 1;
-        let end = match balancers.pick(p.zone, draw(&mut draws), site.speaks(c)) {
-            None => End::No(None),
+        requests += 1;
+        let end = match balancers.pick(client.zone, next_uniform(&mut random_state), site.protocol(c)) {
+            None => End::NotServed(None),
             Some((node, address)) => {
                 site.node_of.borrow_mut()[c] = node;
-                let marks = (failed > 0, again);
-                request(&site, &servers, c, node, address, tries, marks, until).await
+                let marks = (failures > 0, returned);
+                request(&site, &servers, c, node, address, requests, marks, until).await
             }
         };
-        let wait = match end {
+        let delay = match end {
             End::Done => break,
-            End::No(told) => {
-                failed += 1;
-                wait(failed, draw(&mut draws)).max(told.unwrap_or(0))
+            End::NotServed(retry_after) => {
+                failures += 1;
+                retry_delay(failures, next_uniform(&mut random_state)).max(retry_after.unwrap_or(0))
             }
             End::Moved | End::Broken | End::Dropped => {
-                (failed, again) = (0, true);
-                between(&mut draws, if matches!(end, End::Moved) { MOVE } else { BREAK })
+                (failures, returned) = (0, true);
+                uniform_delay(
+                    &mut random_state,
+                    if matches!(end, End::Moved) {
+                        RECONNECT_AFTER_MOVE_US
+                    } else {
+                        RECONNECT_AFTER_BREAK_US
+                    },
+                )
             }
         };
-        site.until((site.now() + wait).min(until)).await;
+        site.until((site.now() + delay).min(until)).await;
     }
     site.wants.borrow_mut()[cell] -= 1;
 }
 
-#[allow(clippy::too_many_arguments)] // one request, all of it
+/// Sends one request and, if it is served, keeps the connection until it ends.
+///
+/// `number` counts the client's requests. `repeat` and `returned` are the marks `r` and `again` of the request.
+#[allow(clippy::too_many_arguments)]
 async fn request(
     site: &Rc<Site>,
     servers: &Servers,
     c: usize,
     node: usize,
     address: std::net::SocketAddr,
-    tries: u32,
-    (repeat, again): (bool, bool),
+    number: u32,
+    (repeat, returned): (bool, bool),
     until: Micros,
 ) -> End {
-    let p = &site.plan.clients[c];
-    let class = &site.scenario.class[p.class];
-    let Ok(stream) = TcpStream::connect(address).await else { return End::No(None) };
+    let client = &site.workload.clients[c];
+    let class = &site.scenario.class[client.class];
+    let Ok(stream) = TcpStream::connect(address).await else { return End::NotServed(None) };
     let _ = stream.set_nodelay(true);
-    let mut wire = Wire::new(stream, site.speaks(c));
+    let mut wire = Wire::new(stream, site.protocol(c));
     let domain = format!("{}.lab", class.name);
-    let call = format!("c{c}-{tries}");
-    let team = &site.scenario.team[p.team].get_ref().name;
-    let marks = format!("{}{}", if repeat { ",r=1" } else { "" }, if again { ",again=1" } else { "" });
+    let call = format!("c{c}-{number}");
+    let team = &site.scenario.team[client.team].get_ref().name;
+    let marks = format!("{}{}", if repeat { ",r=1" } else { "" }, if returned { ",again=1" } else { "" });
     let open = format!(
         "OPEN {call} k{c} c={},d={},g=g{},t={team}{marks}\r\n",
         class.name,
         class.give_up.0 / 1000,
-        p.group
+        client.group
     );
-    let life = site.deaths(node);
+    // Nothing is noted any more once the balancer has died.
+    let deaths_before = site.deaths(node);
     let note = |what: What| {
-        if site.deaths(node) == life {
+        if site.deaths(node) == deaths_before {
             site.note(what);
         }
     };
     let by = site.now() + class.give_up.0;
-    site.note(What::Asked { node, call: call.clone(), team: p.team, class: p.class, by });
-    if !wire.ask(&open, &call, &domain).await {
+    site.note(What::Asked { node, call: call.clone(), team: client.team, class: client.class, by });
+    if !wire.send_request(&open, &call, &domain).await {
         note(What::Answer { node, call, refused: false, after: None, contract: false });
-        return End::No(None);
+        return End::NotServed(None);
     }
     let answer = tokio::select! {
         biased;
-        answer = wire.answer(&domain) => answer,
+        answer = wire.read_answer(&domain) => answer,
         () = site.until(by.min(until)) => {
             note(What::Gone { node, call });
-            return if site.now() >= until { End::Done } else { End::No(None) };
+            return if site.now() >= until { End::Done } else { End::NotServed(None) };
         }
     };
     if answer != Answer::Up {
@@ -122,50 +134,50 @@
             _ => (false, None),
         };
         if answer == Answer::Ended && site.now() < by {
-            let wrong = "ended without an answer".into();
+            let wrong = "the connection ended without an answer".into();
             note(What::Line { node, call: call.clone(), wrong });
         }
         note(What::Answer { node, call, refused, after, contract: false });
-        return End::No(after);
+        return End::NotServed(after);
     }
-    let dropped = servers.drop_of(c);
-    let (mut beats, mut out): (u64, VecDeque<(String, Micros)>) = (0, VecDeque::new());
-    let mut beat = tokio::time::interval(BEAT);
-    beat.tick().await;
+    let dropped = servers.drop_signal(c);
+    let (mut lines_sent, mut unanswered): (u64, VecDeque<(String, Micros)>) = (0, VecDeque::new());
+    let mut line_timer = tokio::time::interval(LINE_INTERVAL);
+    line_timer.tick().await;
     let wrong = |what: String| note(What::Line { node, call: call.clone(), wrong: what });
     let end = loop {
-        let held = out.front().map(|(_, at)| at + HELD);
+        let echo_due = unanswered.front().map(|(_, at)| at + MAX_ECHO_DELAY);
         tokio::select! {
             biased;
-            heard = wire.heard() => match heard {
-                Heard::Ended => break End::Broken,
-                Heard::Moved => break End::Moved,
-                Heard::Bye => break End::Done,
-                Heard::Figure => {}
-                Heard::Message(line) => match out.pop_front() {
+            incoming = wire.receive() => match incoming {
+                Incoming::Ended => break End::Broken,
+                Incoming::Moved => break End::Moved,
+                Incoming::Bye => break End::Done,
+                Incoming::Load => {}
+                Incoming::Message(line) => match unanswered.pop_front() {
                     Some((sent, _)) if sent == line => {}
-                    Some((sent, _)) => wrong(format!("{line:?} came back for {sent:?}")),
-                    None => wrong(format!("{line:?} came and was never sent, or came twice")),
+                    Some((sent, _)) => wrong(format!("received {line:?} where {sent:?} was expected")),
+                    None => wrong(format!("received {line:?}, which was not sent or was already echoed")),
                 },
             },
-            _ = beat.tick() => {
-                beats += 1;
-                let line = format!("m{beats} of {call}");
-                if !wire.message(&line).await {
+            _ = line_timer.tick() => {
+                lines_sent += 1;
+                let line = format!("m{lines_sent} of {call}");
+                if !wire.send_message(&line).await {
                     break End::Broken;
                 }
-                out.push_back((line, site.now()));
+                unanswered.push_back((line, site.now()));
             }
             () = dropped.notified() => break End::Dropped,
             () = site.until(until) => break End::Done,
-            () = site.until(held.unwrap_or(Micros::MAX / 4)), if held.is_some() => {
-                wrong("was silent for 7 s and neither ended nor moved".into());
-                out.clear();
+            () = site.until(echo_due.unwrap_or(Micros::MAX / 4)), if echo_due.is_some() => {
+                wrong("a line was not echoed for 7 s and the connection was neither ended nor moved".into());
+                unanswered.clear();
             }
         }
     };
     if matches!(end, End::Moved) {
-        site.count(3);
+        site.count(MOVES);
         note(What::Moved { node, call: call.clone() });
     }
     note(What::Over { node, call, broken: matches!(end, End::Broken) });
--- a/lab/src/live/discovery.rs
+++ b/lab/src/live/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery over HTTP/1.1: the list, and watches that are told of each change in their own time.
+//! Emulated discovery over HTTP/1.1: the list of servers, and watches that receive each change after a delay.
 
 use super::site::Site;
-use crate::scenario::plan::{stream, Plan};
+use crate::scenario::plan::{random_stream, Workload};
 use crate::scenario::Scenario;
 use crate::score::record::What;
 use crate::virt::engine::host_id;
@@ -16,46 +16,54 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::task::spawn_local;
 
+/// List entry of a server.
 #[derive(Clone)]
-struct Listed {
+struct ListEntry {
     address: SocketAddr,
     zone: String,
     size: f64,
     state: HostState,
+    /// Unix time of the server's start; 0 if it has run since before the run.
     since_ms: u64,
 }
 
 /// One change for a watch: its line, the server and its state.
-type News = (String, usize, HostState);
+type Change = (String, usize, HostState);
 
-/// The service.
+/// Interval at which an idle watch receives an empty line.
+const KEEP_ALIVE: Duration = Duration::from_secs(2);
+
+/// The discovery service.
 pub struct Discovery {
-    /// A listener for each balancer: so it is known who asks.
+    /// One listener per balancer, by which the caller is identified.
     listeners: RefCell<Vec<TcpListener>>,
     addresses: Vec<SocketAddr>,
-    entries: RefCell<Vec<Listed>>,
+    entries: RefCell<Vec<ListEntry>>,
+    /// Index of the last change.
     index: Cell<u64>,
     down: Cell<bool>,
-    watches: RefCell<Vec<(usize, UnboundedSender<Option<News>>)>>,
-    lag: (Micros, Micros),
+    /// Watches, each with the balancer that opened it. `None` ends a watch.
+    watches: RefCell<Vec<(usize, UnboundedSender<Option<Change>>)>>,
+    /// Minimum and maximum delay of a change.
+    delay: (Micros, Micros),
     rng: RefCell<rand_chacha::ChaCha8Rng>,
 }
 
 impl Discovery {
-    /// Listens.
+    /// Binds one address per balancer.
     pub async fn bind(
         scenario: &Scenario,
-        plan: &Plan,
+        workload: &Workload,
         servers: &[SocketAddr],
         seed: u64,
     ) -> Result<Rc<Discovery>, String> {
         let mut listeners = Vec::new();
-        for _ in &plan.balancers {
+        for _ in &workload.balancers {
             listeners
                 .push(TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("cannot listen: {e}"))?);
         }
         let addresses: Result<Vec<SocketAddr>, _> = listeners.iter().map(TcpListener::local_addr).collect();
-        let listed = |(m, &address): (&crate::scenario::plan::Machine, &SocketAddr)| Listed {
+        let entry = |(m, &address): (&crate::scenario::plan::Machine, &SocketAddr)| ListEntry {
             address,
             zone: scenario.zone[m.zone].name.clone(),
             size: m.cores * m.speed,
@@ -66,20 +74,21 @@
         Ok(Rc::new(Discovery {
             listeners: RefCell::new(listeners),
             addresses: addresses.map_err(|e| e.to_string())?,
-            entries: RefCell::new(plan.servers.iter().zip(servers).map(listed).collect()),
+            entries: RefCell::new(workload.servers.iter().zip(servers).map(entry).collect()),
             index: Cell::new(1),
             down: Cell::new(false),
             watches: RefCell::default(),
-            lag: (low.0, high.0.max(low.0)),
-            rng: RefCell::new(stream(seed, "lag")),
+            delay: (low.0, high.0.max(low.0)),
+            rng: RefCell::new(random_stream(seed, "lag")),
         }))
     }
 
-    /// Where a balancer finds it.
+    /// Returns the address of discovery for a balancer.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.addresses[node]
     }
 
+    /// Returns a server's entry in discovery's JSON format.
     fn entry(&self, s: usize) -> String {
         let e = &self.entries.borrow()[s];
         let status = match e.state {
@@ -97,7 +106,7 @@
         )
     }
 
-    /// The whole list in its own form.
+    /// Returns the whole list in discovery's JSON format.
     pub fn list(&self) -> String {
         let listed = |s: &usize| self.entries.borrow()[*s].state != HostState::Gone;
         let n = self.entries.borrow().len();
@@ -105,7 +114,7 @@
         format!("{{\"index\":{},\"snapshot\":true,\"endpoints\":[{}]}}", self.index.get(), all.join(","))
     }
 
-    /// Answers from now on.
+    /// Starts to answer calls.
     pub fn serve(self: &Rc<Self>, site: &Rc<Site>) {
         for (node, listener) in self.listeners.borrow_mut().drain(..).enumerate() {
             let (all, site) = (self.clone(), site.clone());
@@ -118,6 +127,7 @@
         }
     }
 
+    /// Answers one call, and keeps it open if it is a watch.
     async fn answer(&self, site: &Rc<Site>, node: usize, stream: TcpStream) -> std::io::Result<()> {
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
@@ -127,7 +137,7 @@
             return write.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         }
         let list = self.list() + "\n";
-        let told = |s: usize, state: HostState| {
+        let record_told = |s: usize, state: HostState| {
             site.note(What::told(node, s, state));
         };
         let states: Vec<HostState> = self.entries.borrow().iter().map(|e| e.state).collect();
@@ -137,32 +147,32 @@
                 list.len()
             );
             write.write_all((head + &list).as_bytes()).await?;
-            states.iter().enumerate().for_each(|(s, &state)| told(s, state));
+            states.iter().enumerate().for_each(|(s, &state)| record_told(s, state));
             return Ok(());
         }
-        let (to, mut news) = unbounded_channel();
-        self.watches.borrow_mut().push((node, to));
+        let (sender, mut changes) = unbounded_channel();
+        self.watches.borrow_mut().push((node, sender));
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_string();
         write.write_all((head + &chunk(&list)).as_bytes()).await?;
-        states.iter().enumerate().for_each(|(s, &state)| told(s, state));
+        states.iter().enumerate().for_each(|(s, &state)| record_told(s, state));
         loop {
             let line = tokio::select! {
-                news = news.recv() => match news {
+                change = changes.recv() => match change {
                     Some(Some((line, server, state))) => {
                         site.note(What::told(node, server, state));
                         line
                     }
-                    // It goes down: watches end.
+                    // Discovery goes down, which ends all watches.
                     _ => return Ok(()),
                 },
-                () = tokio::time::sleep(Duration::from_secs(2)) => "\n".into(),
+                () = tokio::time::sleep(KEEP_ALIVE) => "\n".into(),
             };
             write.write_all(chunk(&line).as_bytes()).await?;
         }
     }
 
-    /// A server's entry changes; each watch is told in its own time.
+    /// Changes a server's state and reports it to each watch after a random delay. `started` also sets its start time.
     pub fn change(self: &Rc<Self>, site: &Rc<Site>, s: usize, state: HostState, started: Option<()>) {
         {
             let mut entries = self.entries.borrow_mut();
@@ -180,17 +190,17 @@
         );
         for (_, watch) in self.watches.borrow().iter() {
             let (watch, line, site) = (watch.clone(), line.clone(), site.clone());
-            let at = site.now() + self.rng.borrow_mut().random_range(self.lag.0..=self.lag.1);
+            let at = site.now() + self.rng.borrow_mut().random_range(self.delay.0..=self.delay.1);
             spawn_local(async move {
                 site.until(at).await;
-                // A watch that has ended is told nothing.
+                // Fails if the watch has ended, which needs no handling.
                 let _ = watch.send(Some((line, s, state)));
             });
         }
     }
 
-    /// It goes down, or is back.
-    pub fn down(&self, down: bool) {
+    /// Makes discovery unavailable, which ends all watches, or available again.
+    pub fn set_down(&self, down: bool) {
         self.down.set(down);
         if down {
             self.watches.borrow_mut().drain(..).for_each(|(_, watch)| drop(watch.send(None)));
--- a/lab/src/live/servers.rs
+++ b/lab/src/live/servers.rs
@@ -1,9 +1,9 @@
-//! Emulated session servers: the platform's protocol over the model.
+//! Emulated session servers of a live run: the platform's protocol over the server model.
 
-use super::site::Site;
-use super::wire::{Speaks, Wire};
+use super::site::{Site, ATTEMPTS, CROSSINGS, OFFERED_SETUPS, PROBES, WASTED_SETUPS};
+use super::wire::{Protocol, Wire};
 use crate::model::server::{Came, Job, Server};
-use crate::scenario::plan::{draw, Plan, CHANGE, SWING};
+use crate::scenario::plan::{next_uniform, Workload, LOAD_CHANGE_FACTOR, MEAN_LOAD_CHANGE_INTERVAL_US};
 use crate::scenario::Scenario;
 use crate::score::record::{Attempt, What};
 use oakdeal::Micros;
@@ -17,126 +17,148 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// What a connection's task is told.
-enum Word {
-    /// It is set up.
+/// Message to the task of a connection.
+enum Notice {
+    /// The connection has been set up.
     Up,
-    /// Its process has died.
-    Die,
-    /// It is sent away.
+    /// The server's process has died.
+    Died,
+    /// The client must move to another server.
     Move,
-    /// A message takes so many milliseconds here.
+    /// Current message delay of the server, in milliseconds.
     Delay(f64),
 }
 
-struct Peer {
-    to: UnboundedSender<Word>,
+/// A connection at a server.
+struct Connection {
+    notices: UnboundedSender<Notice>,
     node: usize,
     cell: usize,
     client: usize,
-    stands: bool,
+    established: bool,
 }
 
 struct Host {
     model: Server,
     address: SocketAddr,
     listener: Option<TcpListener>,
-    /// Where it speaks XMPP, on the same model.
-    xmpp_at: SocketAddr,
-    xmpp: Option<TcpListener>,
-    accepting: Vec<JoinHandle<()>>,
+    /// Address for XMPP. Its connections load the same model.
+    xmpp_address: SocketAddr,
+    xmpp_listener: Option<TcpListener>,
+    accept_tasks: Vec<JoinHandle<()>>,
     up: bool,
+    /// Whether it failed under overload. It does not come back from that.
     fallen: bool,
     draining: bool,
     silent: bool,
-    errors: f64,
-    peers: BTreeMap<Job, Peer>,
-    last: u32,
+    /// Share of new requests that it fails.
+    error_share: f64,
+    connections: BTreeMap<Job, Connection>,
+    /// Number of the last request that it accepted.
+    last_request: u32,
+    /// For each balancer, whether the last delay reported to it was long.
     slow: BTreeMap<usize, bool>,
     wake: Rc<Notify>,
 }
 
-/// All servers; clones are the same ones.
+/// All servers. Clones share their state.
 #[derive(Clone)]
 pub struct Servers {
     hosts: Rc<Vec<RefCell<Host>>>,
-    /// Attempts whose outcome is not known yet, by call.
-    out: Rc<RefCell<BTreeMap<String, (usize, Job)>>>,
-    drops: Rc<RefCell<BTreeMap<usize, Rc<Notify>>>>,
-    aims: Rc<Vec<Micros>>,
+    /// Attempts without a known outcome, by call.
+    pending: Rc<RefCell<BTreeMap<String, (usize, Job)>>>,
+    /// Signals with which clients are made to disconnect, by client.
+    drop_signals: Rc<RefCell<BTreeMap<usize, Rc<Notify>>>>,
+    /// Target of the message delay, by class.
+    message_targets: Rc<Vec<Micros>>,
 }
 
+/// Time that a request waits at most for the end of an earlier attempt of the same call, in milliseconds.
+const MAX_WAIT_FOR_EARLIER_ATTEMPT_MS: u64 = 20;
+/// Interval at which a silent connection looks whether the silence has ended.
+const SILENCE_POLL: Duration = Duration::from_millis(100);
+/// Number of attempts to bind a restarted server's addresses again, and the interval between them.
+const BIND_ATTEMPTS: usize = 50;
+/// See `BIND_ATTEMPTS`.
+const BIND_RETRY: Duration = Duration::from_millis(20);
+
 impl Servers {
-    /// Listens for all of them.
-    pub async fn bind(scenario: &Scenario, plan: &Plan) -> Result<Servers, String> {
+    /// Binds the addresses of all servers.
+    pub async fn bind(scenario: &Scenario, workload: &Workload) -> Result<Servers, String> {
         let mut hosts = Vec::new();
-        for machine in &plan.servers {
+        for machine in &workload.servers {
             let listener =
                 TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("cannot listen: {e}"))?;
             let xmpp = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("cannot listen: {e}"))?;
             hosts.push(RefCell::new(Host {
-                xmpp_at: xmpp.local_addr().map_err(|e| e.to_string())?,
-                xmpp: Some(xmpp),
+                xmpp_address: xmpp.local_addr().map_err(|e| e.to_string())?,
+                xmpp_listener: Some(xmpp),
                 model: Server::new(machine.clone(), &scenario.fleet, scenario.mean_load()),
                 address: listener.local_addr().map_err(|e| e.to_string())?,
                 listener: Some(listener),
-                accepting: Vec::new(),
+                accept_tasks: Vec::new(),
                 up: true,
                 fallen: false,
                 draining: false,
                 silent: false,
-                errors: 0.0,
-                peers: BTreeMap::new(),
-                last: 0,
+                error_share: 0.0,
+                connections: BTreeMap::new(),
+                last_request: 0,
                 slow: BTreeMap::new(),
                 wake: Rc::default(),
             }));
         }
-        let aims = scenario.class.iter().map(|c| c.message.0).collect();
-        Ok(Servers { hosts: Rc::new(hosts), out: Rc::default(), drops: Rc::default(), aims: Rc::new(aims) })
+        let message_targets = scenario.class.iter().map(|c| c.message.0).collect();
+        Ok(Servers {
+            hosts: Rc::new(hosts),
+            pending: Rc::default(),
+            drop_signals: Rc::default(),
+            message_targets: Rc::new(message_targets),
+        })
     }
 
-    /// Where they are.
+    /// Returns the addresses for the line protocol.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(|h| h.borrow().address).collect()
     }
 
-    /// Where they speak XMPP.
+    /// Returns the addresses for XMPP.
     pub fn xmpp_addresses(&self) -> Vec<SocketAddr> {
-        self.hosts.iter().map(|h| h.borrow().xmpp_at).collect()
+        self.hosts.iter().map(|h| h.borrow().xmpp_address).collect()
     }
 
-    /// Begins to serve.
+    /// Starts the tasks of all servers.
     pub fn serve(&self, site: &Rc<Site>) {
         for s in 0..self.hosts.len() {
             self.accept(site, s);
             let (all, site) = (self.clone(), site.clone());
-            spawn_local(async move { all.set_up(&site, s).await });
+            spawn_local(async move { all.run_setups(&site, s).await });
         }
     }
 
+    /// Accepts connections of both protocols.
     fn accept(&self, site: &Rc<Site>, s: usize) {
         let (lines, xmpp) = {
             let mut h = self.hosts[s].borrow_mut();
-            (h.listener.take(), h.xmpp.take())
+            (h.listener.take(), h.xmpp_listener.take())
         };
-        for (listener, speaks) in
-            lines.into_iter().map(|l| (l, Speaks::Lines)).chain(xmpp.map(|l| (l, Speaks::Xmpp)))
+        for (listener, protocol) in
+            lines.into_iter().map(|l| (l, Protocol::Lines)).chain(xmpp.map(|l| (l, Protocol::Xmpp)))
         {
             let (all, site) = (self.clone(), site.clone());
             let task = spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     let _ = stream.set_nodelay(true);
                     let (all, site) = (all.clone(), site.clone());
-                    spawn_local(async move { all.connection(&site, s, Wire::new(stream, speaks)).await });
+                    spawn_local(async move { all.connection(&site, s, Wire::new(stream, protocol)).await });
                 }
             });
-            self.hosts[s].borrow_mut().accepting.push(task);
+            self.hosts[s].borrow_mut().accept_tasks.push(task);
         }
     }
 
-    /// Tells connections that they are set up, when the model says so.
-    async fn set_up(&self, site: &Rc<Site>, s: usize) {
+    /// Notifies connections when the model has completed their set-up.
+    async fn run_setups(&self, site: &Rc<Site>, s: usize) {
         let wake = self.hosts[s].borrow().wake.clone();
         loop {
             let next = {
@@ -144,7 +166,10 @@
                 let mut h = self.hosts[s].borrow_mut();
                 let ended = h.model.ended(now);
                 if !h.silent {
-                    ended.iter().filter_map(|job| h.peers.get(job)).for_each(|p| drop(p.to.send(Word::Up)));
+                    ended
+                        .iter()
+                        .filter_map(|job| h.connections.get(job))
+                        .for_each(|c| drop(c.notices.send(Notice::Up)));
                 }
                 h.model.next()
             };
@@ -155,49 +180,50 @@
         }
     }
 
+    /// Serves one connection until it ends.
     async fn connection(&self, site: &Rc<Site>, s: usize, mut wire: Wire) {
-        let Some(first) = wire.first().await else { return };
+        let Some(first) = wire.read_first().await else { return };
         if first == "PING" {
-            site.count(4);
+            site.count(PROBES);
             if self.hosts[s].borrow().silent {
                 return std::future::pending().await;
             }
-            wire.say("PONG\r\n").await;
+            wire.send("PONG\r\n").await;
             return;
         }
-        let Some((call, c)) = call_of(&first) else {
-            wire.say("SYNTAX\r\n").await;
+        let Some((call, c)) = parse_call(&first) else {
+            wire.send("SYNTAX\r\n").await;
             return;
         };
         let node = site.node_of.borrow()[c];
-        let (from, to) = (site.plan.balancers[node], site.plan.servers[s].zone);
-        site.count(1);
-        site.count(6);
+        let (from, to) = (site.workload.balancers[node], site.workload.servers[s].zone);
+        site.count(ATTEMPTS);
+        site.count(OFFERED_SETUPS);
         if from != to {
-            site.count(2);
+            site.count(CROSSINGS);
         }
-        // Whether an earlier attempt of this request is out still: its end may be on the way to its task.
-        for _ in 0..20 {
-            if !self.out.borrow().contains_key(&call) {
+        // The end of an earlier attempt of this call may not have reached its task yet.
+        for _ in 0..MAX_WAIT_FOR_EARLIER_ATTEMPT_MS {
+            if !self.pending.borrow().contains_key(&call) {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         site.note(What::Sent { node, call: call.clone(), server: s, crosses: from != to });
-        let (to, mut words) = unbounded_channel();
-        let (p, now) = (&site.plan.clients[c], site.now());
+        let (notices, mut received) = unbounded_channel();
+        let (client, now) = (&site.workload.clients[c], site.now());
         let cell = site.cell(c);
-        let (job, came) = {
+        let (job, admission) = {
             let mut h = self.hosts[s].borrow_mut();
-            h.last += 1;
-            let job = (c as u32, h.last);
-            let chance =
-                (p.seed ^ u64::from(h.last).wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64 / u64::MAX as f64;
-            let came = match () {
+            h.last_request += 1;
+            let job = (c as u32, h.last_request);
+            let chance = (client.seed ^ u64::from(h.last_request).wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64
+                / u64::MAX as f64;
+            let admission = match () {
                 () if h.silent => None,
                 () if h.draining => Some(Err(Attempt::Full)),
-                () if chance < h.errors => Some(Err(Attempt::Error)),
-                () => Some(match h.model.came(now, job, p.load, p.cost) {
+                () if chance < h.error_share => Some(Err(Attempt::Error)),
+                () => Some(match h.model.came(now, job, client.load, client.setup_factor) {
                     Came::Taken => Ok(()),
                     Came::Full => Err(Attempt::Full),
                     Came::Fell => {
@@ -206,171 +232,176 @@
                     }
                 }),
             };
-            if !matches!(came, Some(Err(_))) {
-                h.peers.insert(job, Peer { to, node, cell, client: c, stands: false });
+            if !matches!(admission, Some(Err(_))) {
+                h.connections.insert(job, Connection { notices, node, cell, client: c, established: false });
             }
             h.wake.notify_one();
-            (job, came)
+            (job, admission)
         };
-        if let Some(Err(how)) = came {
-            site.count(5);
+        if let Some(Err(how)) = admission {
+            site.count(WASTED_SETUPS);
             site.note(What::Done { node, call, how });
             if how == Attempt::Reset {
                 site.note(What::Fell { server: s });
                 return self.die(site, s);
             }
-            wire.no(how == Attempt::Full).await;
+            wire.reject(how == Attempt::Full).await;
             return;
         }
-        self.out.borrow_mut().insert(call.clone(), (s, job));
+        self.pending.borrow_mut().insert(call.clone(), (s, job));
         let up = loop {
             tokio::select! {
                 biased;
-                word = words.recv() => match word {
-                    Some(Word::Up) => break true,
-                    Some(Word::Die) | None => break false,
+                notice = received.recv() => match notice {
+                    Some(Notice::Up) => break true,
+                    Some(Notice::Died) | None => break false,
                     Some(_) => {}
                 },
-                // Before the answer nothing may come: it is the end.
-                _ = wire.next() => break false,
+                // The balancer sends nothing before the answer, so this is the end of the connection.
+                _ = wire.read_next() => break false,
             }
         };
-        self.out.borrow_mut().remove(&call);
+        self.pending.borrow_mut().remove(&call);
         if !up {
-            site.count(5);
+            site.count(WASTED_SETUPS);
             site.note(What::Done { node, call, how: Attempt::Given });
-            return self.gone(site, s, job);
+            return self.remove(site, s, job);
         }
         {
             let mut h = self.hosts[s].borrow_mut();
-            h.model.stand(site.now(), job, p.load, p.group);
-            if let Some(peer) = h.peers.get_mut(&job) {
-                peer.stands = true;
+            h.model.stand(site.now(), job, client.load, client.group);
+            if let Some(connection) = h.connections.get_mut(&job) {
+                connection.established = true;
             }
         }
         site.note(What::Done { node, call: call.clone(), how: Attempt::Up });
-        let told = self.hosts[s].borrow().model.told(p.load);
-        let mut draws = p.seed;
-        let mut change = Box::pin(tokio::time::sleep(wait(&mut draws)));
-        let mut ok = wire.up(&format!("{}-{s}", job.1)).await && wire.load(told).await;
+        let reported = self.hosts[s].borrow().model.told(client.load);
+        let mut random_state = client.seed;
+        let mut load_change = Box::pin(tokio::time::sleep(time_to_load_change(&mut random_state)));
+        let mut ok = wire.send_up(&format!("{}-{s}", job.1)).await && wire.send_load(reported).await;
         while ok {
             let silent = self.hosts[s].borrow().silent;
             tokio::select! {
                 biased;
-                word = words.recv() => match word {
-                    Some(Word::Move) => {
-                        wire.away().await;
+                notice = received.recv() => match notice {
+                    Some(Notice::Move) => {
+                        wire.send_move().await;
                         break;
                     }
-                    Some(Word::Delay(ms)) => ok = wire.load(ms).await,
-                    Some(Word::Up) => {}
-                    Some(Word::Die) | None => break,
+                    Some(Notice::Delay(ms)) => ok = wire.send_load(ms).await,
+                    Some(Notice::Up) => {}
+                    Some(Notice::Died) | None => break,
                 },
-                line = wire.next(), if !silent => match line {
+                line = wire.read_next(), if !silent => match line {
                     Some(line) => ok = wire.echo(&line).await,
                     None => break,
                 },
-                () = &mut change => {
-                    let load = p.load * (SWING.0 + (SWING.1 - SWING.0) * draw(&mut draws));
-                    let told = {
+                () = &mut load_change => {
+                    let load = client.load
+                        * (LOAD_CHANGE_FACTOR.0
+                            + (LOAD_CHANGE_FACTOR.1 - LOAD_CHANGE_FACTOR.0) * next_uniform(&mut random_state));
+                    let reported = {
                         let mut h = self.hosts[s].borrow_mut();
                         h.model.change(site.now(), job, load);
                         h.model.told(load)
                     };
                     if !silent {
-                        ok = wire.load(told).await;
+                        ok = wire.send_load(reported).await;
                     }
-                    change = Box::pin(tokio::time::sleep(wait(&mut draws)));
+                    load_change = Box::pin(tokio::time::sleep(time_to_load_change(&mut random_state)));
                 }
-                // Silence may end meanwhile.
-                () = tokio::time::sleep(Duration::from_millis(100)), if silent => {}
+                // Looks again whether the server is still silent.
+                () = tokio::time::sleep(SILENCE_POLL), if silent => {}
             }
         }
-        self.gone(site, s, job);
+        self.remove(site, s, job);
     }
 
-    fn gone(&self, site: &Site, s: usize, job: Job) {
+    /// Removes a connection that has ended.
+    fn remove(&self, site: &Site, s: usize, job: Job) {
         let mut h = self.hosts[s].borrow_mut();
-        h.peers.remove(&job);
+        h.connections.remove(&job);
         h.model.leave(site.now(), job);
         h.wake.notify_one();
     }
 
-    /// A server's process dies: connections end, nobody listens.
+    /// Ends a server's process: its connections end and its addresses refuse connections.
     pub fn die(&self, site: &Site, s: usize) {
         let mut h = self.hosts[s].borrow_mut();
         h.up = false;
-        h.accepting.drain(..).for_each(|task| task.abort());
-        h.peers.values().for_each(|p| drop(p.to.send(Word::Die)));
+        h.accept_tasks.drain(..).for_each(|task| task.abort());
+        h.connections.values().for_each(|c| drop(c.notices.send(Notice::Died)));
         h.model.lose(site.now());
     }
 
-    /// Its process is back, cold; not if it fell over.
-    pub async fn back(&self, site: &Rc<Site>, s: usize) -> bool {
-        let (address, xmpp_at, fallen) = {
+    /// Restarts a server's process, cold, unless it failed under overload. Returns whether it runs again.
+    pub async fn restart(&self, site: &Rc<Site>, s: usize) -> bool {
+        let (address, xmpp_address, fallen) = {
             let h = self.hosts[s].borrow();
-            (h.address, h.xmpp_at, h.fallen)
+            (h.address, h.xmpp_address, h.fallen)
         };
         if fallen {
             return false;
         }
-        // The system may hold the address for a moment.
-        for _ in 0..50 {
+        // The system may keep the addresses in use for a moment.
+        for _ in 0..BIND_ATTEMPTS {
             if let (Ok(listener), Ok(xmpp)) =
-                (TcpListener::bind(address).await, TcpListener::bind(xmpp_at).await)
+                (TcpListener::bind(address).await, TcpListener::bind(xmpp_address).await)
             {
                 {
                     let mut h = self.hosts[s].borrow_mut();
-                    (h.listener, h.xmpp, h.up, h.draining) = (Some(listener), Some(xmpp), true, false);
+                    (h.listener, h.xmpp_listener, h.up, h.draining) =
+                        (Some(listener), Some(xmpp), true, false);
                     h.model.start(site.now());
                 }
                 site.note(What::Started { server: s });
                 self.accept(site, s);
                 return true;
             }
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(BIND_RETRY).await;
         }
         false
     }
 
-    /// It drains: it takes nothing and sends its clients away.
+    /// Drains a server: it refuses new requests and moves its clients.
     pub fn drain(&self, s: usize) {
         let mut h = self.hosts[s].borrow_mut();
         h.draining = true;
-        h.peers.values().filter(|p| p.stands).for_each(|p| drop(p.to.send(Word::Move)));
+        h.connections.values().filter(|c| c.established).for_each(|c| drop(c.notices.send(Notice::Move)));
     }
 
-    /// It is silent from now on, or no more.
-    pub fn silence(&self, s: usize, on: bool) {
+    /// Makes a server silent, or ends its silence.
+    pub fn set_silent(&self, s: usize, on: bool) {
         self.hosts[s].borrow_mut().silent = on;
     }
 
-    /// It fails this share of new requests.
-    pub fn errors(&self, s: usize, share: f64) {
-        self.hosts[s].borrow_mut().errors = share;
+    /// Makes a server fail this share of new requests.
+    pub fn set_error_share(&self, s: usize, share: f64) {
+        self.hosts[s].borrow_mut().error_share = share;
     }
 
-    /// This part of the standing clients drops: each client's task hears of it.
+    /// Signals a fraction of the clients with established connections to disconnect.
     pub fn drop_clients(&self, part: f64) {
         let mut all: Vec<usize> = Vec::new();
         for h in self.hosts.iter() {
-            all.extend(h.borrow().peers.values().filter(|p| p.stands).map(|p| p.client));
+            all.extend(h.borrow().connections.values().filter(|c| c.established).map(|c| c.client));
         }
         let n = (all.len() as f64 * part) as usize;
-        // Evenly over all of them.
+        // Spread evenly over all connections.
         for i in 0..n {
             let client = all[i * all.len() / n];
-            self.drops.borrow().get(&client).into_iter().for_each(|drop| drop.notify_one());
+            self.drop_signals.borrow().get(&client).into_iter().for_each(|signal| signal.notify_one());
         }
     }
 
-    /// What a standing client waits on to hear that it is to drop.
-    pub fn drop_of(&self, client: usize) -> Rc<Notify> {
-        self.drops.borrow_mut().entry(client).or_default().clone()
+    /// Returns the signal that makes a client disconnect.
+    pub fn drop_signal(&self, client: usize) -> Rc<Notify> {
+        self.drop_signals.borrow_mut().entry(client).or_default().clone()
     }
 
-    /// Shows, for each server that serves, how many of a cell stand there and the share of messages in time.
-    pub fn look(&self, now: Micros, mut show: impl FnMut(usize, u32, f64)) {
+    /// Calls `show`, for each working server and each cell with connections there, with the cell, the number of its
+    /// connections and the share of their messages that meet the target of the message delay.
+    pub fn sample(&self, now: Micros, mut show: impl FnMut(usize, u32, f64)) {
         for h in self.hosts.iter() {
             let mut h = h.borrow_mut();
             h.model.pass(now);
@@ -378,21 +409,25 @@
                 continue;
             }
             let mut cells: BTreeMap<usize, u32> = BTreeMap::new();
-            h.peers.values().filter(|p| p.stands).for_each(|p| *cells.entry(p.cell).or_default() += 1);
+            h.connections
+                .values()
+                .filter(|c| c.established)
+                .for_each(|c| *cells.entry(c.cell).or_default() += 1);
             for (cell, n) in cells {
-                show(cell, n, h.model.within(now, self.aims[cell % self.aims.len()]));
+                show(cell, n, h.model.within(now, self.message_targets[cell % self.message_targets.len()]));
             }
         }
     }
 
-    /// Loads over what each can do, and connections there.
+    /// Returns each server's load relative to its capacity, and its number of connections.
     pub fn loads(&self, now: Micros) -> (Vec<f32>, Vec<u32>) {
         let load = |h: &Host| if h.up { h.model.load(now) as f32 } else { 0.0 };
         self.hosts.iter().map(|h| (load(&h.borrow()), h.borrow().model.held() as u32)).unzip()
     }
 
-    /// Each second: one connection of each balancer is told how long messages take, while that is long.
-    pub fn tell_delays(&self, site: &Site) {
+    /// Reports each slow server's message delay over one connection of each balancer, and once more when it is no longer
+    /// slow. Called once a second.
+    pub fn report_delays(&self, site: &Site) {
         let (now, shortest) =
             (site.now(), site.scenario.class.iter().map(|c| c.message.0).min().unwrap_or(0));
         for h in self.hosts.iter() {
@@ -400,30 +435,31 @@
             if h.silent || !h.up {
                 continue;
             }
-            let (delay, mut told) = (h.model.message(now), std::mem::take(&mut h.slow));
+            let (delay, mut reported) = (h.model.message(now), std::mem::take(&mut h.slow));
             let slow = delay > shortest as f64 / 3.0;
-            let mut first: BTreeMap<usize, &Peer> = BTreeMap::new();
-            h.peers.values().filter(|p| p.stands).for_each(|p| {
-                first.entry(p.node).or_insert(p);
+            let mut first: BTreeMap<usize, &Connection> = BTreeMap::new();
+            h.connections.values().filter(|c| c.established).for_each(|c| {
+                first.entry(c.node).or_insert(c);
             });
-            for (node, peer) in first {
-                if slow || told.get(&node) == Some(&true) {
-                    let _ = peer.to.send(Word::Delay(delay / 1000.0));
+            for (node, connection) in first {
+                if slow || reported.get(&node) == Some(&true) {
+                    let _ = connection.notices.send(Notice::Delay(delay / 1000.0));
                 }
-                told.insert(node, slow);
+                reported.insert(node, slow);
             }
-            h.slow = told;
+            h.slow = reported;
         }
     }
 }
 
-/// A client's call and its number, from its first line.
-fn call_of(first: &str) -> Option<(String, usize)> {
+/// Returns the call and the client's number from the first line of a request.
+fn parse_call(first: &str) -> Option<(String, usize)> {
     let call = first.strip_prefix("OPEN ")?.split(' ').next()?;
     let c = call.strip_prefix('c')?.split_once('-')?.0.parse().ok()?;
     Some((call.to_string(), c))
 }
 
-fn wait(draws: &mut u64) -> Duration {
-    Duration::from_micros((2.0 * CHANGE * draw(draws)) as u64)
+/// Draws the time until a connection's next change of load.
+fn time_to_load_change(random_state: &mut u64) -> Duration {
+    Duration::from_micros((2.0 * MEAN_LOAD_CHANGE_INTERVAL_US * next_uniform(random_state)) as u64)
 }
--- a/lab/src/live/wire.rs
+++ b/lab/src/live/wire.rs
@@ -1,5 +1,6 @@
-//! What the two protocols say for the same things, on either side: a first word, an answer, messages, an end. XMPP
-//! as RFC 6120 has it, no more of it than a log-in by PLAIN and stanzas without children.
+//! The line protocol and XMPP behind one interface, for clients and for servers.
+//!
+//! XMPP follows RFC 6120, limited to authentication with PLAIN and stanzas without child elements.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -7,26 +8,26 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 
-/// A peer that sends more than this without an end of what it says is not heard.
-const LONG: usize = 64 * 1024;
-const SASL: &str = "urn:ietf:params:xml:ns:xmpp-sasl";
-const SYSTEM: &str = "urn:ietf:params:xml:ns:xmpp-streams";
+/// Maximum length of a line or stanza in bytes. A longer one counts as the end of the connection.
+const MAX_LENGTH: usize = 64 * 1024;
+const SASL_NAMESPACE: &str = "urn:ietf:params:xml:ns:xmpp-sasl";
+const STREAM_ERROR_NAMESPACE: &str = "urn:ietf:params:xml:ns:xmpp-streams";
 
-/// A protocol.
+/// Protocol of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Speaks {
-    /// The platform's lines.
+pub enum Protocol {
+    /// The platform's line protocol.
     Lines,
     /// XMPP.
     Xmpp,
 }
 
-/// How a request was answered.
+/// Answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It stands.
+    /// The connection is established.
     Up,
-    /// Refused; come again after so many milliseconds.
+    /// Refused; the delay before a retry in milliseconds, if given.
     Busy(Option<u64>),
     /// Failed.
     Failed,
@@ -34,31 +35,32 @@
     Ended,
 }
 
-/// What a client hears on a standing connection.
+/// What a client receives on an established connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Incoming {
     /// A message.
     Message(String),
-    /// A figure that is not for clients.
-    Figure,
-    /// It is asked to come again.
+    /// A load report or other data that is not for clients.
+    Load,
+    /// The request to reconnect to another server.
     Moved,
-    /// Served to its end.
+    /// The regular end of the connection.
     Bye,
-    /// The connection ended.
+    /// The connection ended without notice.
     Ended,
 }
 
-/// One side's end of a connection.
+/// One end of a connection.
 pub struct Wire {
-    speaks: Speaks,
+    protocol: Protocol,
     read: BufReader<OwnedReadHalf>,
     write: OwnedWriteHalf,
-    /// What came of the next thing: a read that was given up loses nothing.
-    part: Vec<u8>,
+    /// Bytes of the incomplete next line or stanza, kept so that a cancelled read loses no data.
+    partial: Vec<u8>,
 }
 
-fn header(domain: &str) -> String {
+/// Returns the XML declaration and the opening tag of a stream.
+fn stream_header(domain: &str) -> String {
     format!(
         "<?xml version='1.0'?><stream:stream to='{domain}' from='{domain}' version='1.0' xmlns='jabber:client' \
          xmlns:stream='http://etherx.jabber.org/streams'>"
@@ -66,178 +68,187 @@
 }
 
 impl Wire {
-    /// Over this stream.
-    pub fn new(stream: TcpStream, speaks: Speaks) -> Wire {
+    /// Wraps a TCP connection.
+    pub fn new(stream: TcpStream, protocol: Protocol) -> Wire {
         let (read, write) = stream.into_split();
-        Wire { speaks, read: BufReader::new(read), write, part: Vec::new() }
+        Wire { protocol, read: BufReader::new(read), write, partial: Vec::new() }
     }
 
-    /// Writes; whether it could be.
-    pub async fn say(&mut self, text: &str) -> bool {
+    /// Sends text and returns whether that succeeded.
+    pub async fn send(&mut self, text: &str) -> bool {
         self.write.write_all(text.as_bytes()).await.is_ok()
     }
 
-    /// Reads to the end of what ends so; none at the end of the connection.
-    async fn until(&mut self, end: &str) -> Option<String> {
+    /// Reads up to and including `end`; `None` if the connection ends before.
+    async fn read_until(&mut self, end: &str) -> Option<String> {
         loop {
             let byte = self.read.read_u8().await.ok()?;
-            self.part.push(byte);
-            if self.part.ends_with(end.as_bytes()) {
-                return String::from_utf8(std::mem::take(&mut self.part)).ok();
+            self.partial.push(byte);
+            if self.partial.ends_with(end.as_bytes()) {
+                return String::from_utf8(std::mem::take(&mut self.partial)).ok();
             }
-            if self.part.len() > LONG {
+            if self.partial.len() > MAX_LENGTH {
                 return None;
             }
         }
     }
 
-    /// A server's: the first line, or for XMPP one that says the same: the user's name is the call.
-    pub async fn first(&mut self) -> Option<String> {
-        if self.speaks == Speaks::Lines {
-            return self.next().await;
+    /// Server: reads the first line. For XMPP it authenticates the client and returns an equivalent line, in which the
+    /// user name is the call.
+    pub async fn read_first(&mut self) -> Option<String> {
+        if self.protocol == Protocol::Lines {
+            return self.read_next().await;
         }
-        self.until("xmlns:stream='http://etherx.jabber.org/streams'>").await?;
+        self.read_until("xmlns:stream='http://etherx.jabber.org/streams'>").await?;
         let features = format!(
-            "{}<stream:features><mechanisms xmlns='{SASL}'><mechanism>PLAIN</mechanism></mechanisms></stream:features>",
-            header("lab")
+            "{}<stream:features><mechanisms xmlns='{SASL_NAMESPACE}'><mechanism>PLAIN</mechanism></mechanisms></stream:features>",
+            stream_header("lab")
         );
-        self.say(&features).await;
-        let auth = self.until("</auth>").await?;
-        let said = STANDARD.decode(auth.strip_suffix("</auth>")?.rsplit('>').next()?).ok()?;
-        let user = String::from_utf8(said).ok()?.split('\0').nth(1)?.to_string();
+        self.send(&features).await;
+        let auth = self.read_until("</auth>").await?;
+        let credentials = STANDARD.decode(auth.strip_suffix("</auth>")?.rsplit('>').next()?).ok()?;
+        let user = String::from_utf8(credentials).ok()?.split('\0').nth(1)?.to_string();
         Some(format!("OPEN {user} k"))
     }
 
-    /// A server's: it stands.
-    pub async fn up(&mut self, receipt: &str) -> bool {
-        if self.speaks == Speaks::Lines {
-            return self.say(&format!("UP {receipt}\r\n")).await;
+    /// Server: reports that the connection is established.
+    pub async fn send_up(&mut self, receipt: &str) -> bool {
+        if self.protocol == Protocol::Lines {
+            return self.send(&format!("UP {receipt}\r\n")).await;
         }
-        self.say(&format!("<success xmlns='{SASL}'/>")).await
-            && self.until("xmlns:stream='http://etherx.jabber.org/streams'>").await.is_some()
-            && self.say(&format!("{}<stream:features/>", header("lab"))).await
+        self.send(&format!("<success xmlns='{SASL_NAMESPACE}'/>")).await
+            && self.read_until("xmlns:stream='http://etherx.jabber.org/streams'>").await.is_some()
+            && self.send(&format!("{}<stream:features/>", stream_header("lab"))).await
     }
 
-    /// A server's: it does not take this one, unseen or with an error.
-    pub async fn no(&mut self, unseen: bool) {
-        match (self.speaks, unseen) {
-            (Speaks::Lines, true) => self.say("BUSY\r\n").await,
-            (Speaks::Lines, false) => self.say("ERR\r\n").await,
-            (Speaks::Xmpp, true) => {
-                self.say(&format!(
-                    "<failure xmlns='{SASL}'><temporary-auth-failure/></failure></stream:stream>"
+    /// Server: rejects the request as busy, or with an error.
+    pub async fn reject(&mut self, busy: bool) {
+        match (self.protocol, busy) {
+            (Protocol::Lines, true) => self.send("BUSY\r\n").await,
+            (Protocol::Lines, false) => self.send("ERR\r\n").await,
+            (Protocol::Xmpp, true) => {
+                self.send(&format!(
+                    "<failure xmlns='{SASL_NAMESPACE}'><temporary-auth-failure/></failure></stream:stream>"
                 ))
                 .await
             }
-            (Speaks::Xmpp, false) => {
-                let error = format!("<stream:error><internal-server-error xmlns='{SYSTEM}'/></stream:error>");
-                self.say(&format!("{error}</stream:stream>")).await
+            (Protocol::Xmpp, false) => {
+                let error = format!(
+                    "<stream:error><internal-server-error xmlns='{STREAM_ERROR_NAMESPACE}'/></stream:error>"
+                );
+                self.send(&format!("{error}</stream:stream>")).await
             }
         };
     }
 
-    /// A server's: a figure. XMPP servers tell none.
-    pub async fn load(&mut self, figure: f64) -> bool {
-        self.speaks == Speaks::Xmpp || self.say(&format!("LOAD {figure:.1}\r\n")).await
+    /// Server: reports a load. XMPP servers report none.
+    pub async fn send_load(&mut self, load: f64) -> bool {
+        self.protocol == Protocol::Xmpp || self.send(&format!("LOAD {load:.1}\r\n")).await
     }
 
-    /// A server's: come again.
-    pub async fn away(&mut self) {
-        let text = match self.speaks {
-            Speaks::Lines => "MOVE\r\n".to_string(),
-            Speaks::Xmpp => {
-                format!("<stream:error><system-shutdown xmlns='{SYSTEM}'/></stream:error></stream:stream>")
+    /// Server: asks the client to reconnect to another server.
+    pub async fn send_move(&mut self) {
+        let text = match self.protocol {
+            Protocol::Lines => "MOVE\r\n".to_string(),
+            Protocol::Xmpp => {
+                format!("<stream:error><system-shutdown xmlns='{STREAM_ERROR_NAMESPACE}'/></stream:error></stream:stream>")
             }
         };
-        self.say(&text).await;
+        self.send(&text).await;
     }
 
-    /// The next line or stanza; none at the end.
-    pub async fn next(&mut self) -> Option<String> {
-        match self.speaks {
-            Speaks::Lines => self.until("\n").await.map(|line| line.trim_end().to_string()),
-            Speaks::Xmpp => self.until(">").await.filter(|stanza| !stanza.contains("</stream:stream>")),
+    /// Reads the next line or stanza; `None` at the end of the connection.
+    pub async fn read_next(&mut self) -> Option<String> {
+        match self.protocol {
+            Protocol::Lines => self.read_until("\n").await.map(|line| line.trim_end().to_string()),
+            Protocol::Xmpp => {
+                self.read_until(">").await.filter(|stanza| !stanza.contains("</stream:stream>"))
+            }
         }
     }
 
-    /// A server's: sends back what came.
-    pub async fn echo(&mut self, said: &str) -> bool {
-        match self.speaks {
-            Speaks::Lines => self.say(&format!("{said}\r\n")).await,
-            Speaks::Xmpp => self.say(said).await,
+    /// Server: sends a received line or stanza back.
+    pub async fn echo(&mut self, received: &str) -> bool {
+        match self.protocol {
+            Protocol::Lines => self.send(&format!("{received}\r\n")).await,
+            Protocol::Xmpp => self.send(received).await,
         }
     }
 
-    /// A client's: asks, in lines with `open`, in XMPP with the call as its user's name.
-    pub async fn ask(&mut self, open: &str, call: &str, domain: &str) -> bool {
-        if self.speaks == Speaks::Lines {
-            return self.say(open).await;
+    /// Client: sends a request, in the line protocol the line `open`, in XMPP with the call as the user name.
+    pub async fn send_request(&mut self, open: &str, call: &str, domain: &str) -> bool {
+        if self.protocol == Protocol::Lines {
+            return self.send(open).await;
         }
-        let said = STANDARD.encode(format!("\0{call}\0lab"));
-        let auth = format!("<auth xmlns='{SASL}' mechanism='PLAIN'>{said}</auth>");
-        self.say(&header(domain)).await
-            && self.until("</stream:features>").await.is_some()
-            && self.say(&auth).await
+        let credentials = STANDARD.encode(format!("\0{call}\0lab"));
+        let auth = format!("<auth xmlns='{SASL_NAMESPACE}' mechanism='PLAIN'>{credentials}</auth>");
+        self.send(&stream_header(domain)).await
+            && self.read_until("</stream:features>").await.is_some()
+            && self.send(&auth).await
     }
 
-    /// A client's: the answer.
-    pub async fn answer(&mut self, domain: &str) -> Answer {
-        if self.speaks == Speaks::Lines {
-            let Some(line) = self.next().await else { return Answer::Ended };
+    /// Client: reads the answer to its request.
+    pub async fn read_answer(&mut self, domain: &str) -> Answer {
+        if self.protocol == Protocol::Lines {
+            let Some(line) = self.read_next().await else { return Answer::Ended };
             return match line.strip_prefix("BUSY") {
                 _ if line.starts_with("UP") => Answer::Up,
                 Some(ms) => Answer::Busy(ms.trim().parse().ok()),
                 None => Answer::Failed,
             };
         }
-        let mut all = String::new();
-        while let Some(part) = self.until(">").await {
-            all += &part;
-            if all.contains("<success") {
-                let opened =
-                    self.say(&header(domain)).await && self.until("<stream:features/>").await.is_some();
+        let mut received = String::new();
+        while let Some(part) = self.read_until(">").await {
+            received += &part;
+            if received.contains("<success") {
+                let opened = self.send(&stream_header(domain)).await
+                    && self.read_until("<stream:features/>").await.is_some();
                 return if opened { Answer::Up } else { Answer::Ended };
             }
-            if all.contains("</failure>") {
-                let after =
-                    all.split("come again after ").nth(1).and_then(|t| t.split(' ').next()?.parse().ok());
-                return if all.contains("temporary-auth-failure") {
-                    Answer::Busy(after)
+            if received.contains("</failure>") {
+                let retry_after = received
+                    .split("come again after ")
+                    .nth(1)
+                    .and_then(|t| t.split(' ').next()?.parse().ok());
+                return if received.contains("temporary-auth-failure") {
+                    Answer::Busy(retry_after)
                 } else {
                     Answer::Failed
                 };
             }
-            if all.contains("</stream:error>") {
+            if received.contains("</stream:error>") {
                 return Answer::Failed;
             }
         }
         Answer::Ended
     }
 
-    /// A client's: sends a message.
-    pub async fn message(&mut self, text: &str) -> bool {
-        match self.speaks {
-            Speaks::Lines => self.say(&format!("{text}\r\n")).await,
-            Speaks::Xmpp => self.say(&format!("<message id='{text}'/>")).await,
+    /// Client: sends a message.
+    pub async fn send_message(&mut self, text: &str) -> bool {
+        match self.protocol {
+            Protocol::Lines => self.send(&format!("{text}\r\n")).await,
+            Protocol::Xmpp => self.send(&format!("<message id='{text}'/>")).await,
         }
     }
 
-    /// A client's: what comes next on its standing connection.
-    pub async fn heard(&mut self) -> Heard {
-        let Some(said) = self.next().await else { return Heard::Ended };
-        if self.speaks == Speaks::Xmpp {
-            let id = said.strip_prefix("<message id='").and_then(|rest| rest.split('\'').next());
+    /// Client: reads the next line or stanza on its established connection.
+    pub async fn receive(&mut self) -> Incoming {
+        let Some(received) = self.read_next().await else { return Incoming::Ended };
+        if self.protocol == Protocol::Xmpp {
+            let id = received.strip_prefix("<message id='").and_then(|rest| rest.split('\'').next());
             return match id {
-                Some(id) => Heard::Message(id.to_string()),
-                None if said.contains("system-shutdown") || said.contains("see-other-host") => Heard::Moved,
-                None => Heard::Figure,
+                Some(id) => Incoming::Message(id.to_string()),
+                None if received.contains("system-shutdown") || received.contains("see-other-host") => {
+                    Incoming::Moved
+                }
+                None => Incoming::Load,
             };
         }
-        match said.as_str() {
-            "MOVE" => Heard::Moved,
-            "BYE" => Heard::Bye,
-            line if line.starts_with("LOAD ") => Heard::Figure,
-            line => Heard::Message(line.to_string()),
+        match received.as_str() {
+            "MOVE" => Incoming::Moved,
+            "BYE" => Incoming::Bye,
+            line if line.starts_with("LOAD ") => Incoming::Load,
+            line => Incoming::Message(line.to_string()),
         }
     }
 }
--- a/lab/src/scenario/library.rs
+++ b/lab/src/scenario/library.rs
@@ -1,9 +1,9 @@
-//! The named scenarios that come with the laboratory.
+//! The built-in scenarios of the laboratory.
 
 use super::Scenario;
 use std::path::Path;
 
-/// Name and text of each.
+/// Name and TOML text of each built-in scenario.
 pub const ALL: [(&str, &str); 18] = [
     ("calm", include_str!("../../scenarios/calm.toml")),
     ("typhoon", include_str!("../../scenarios/typhoon.toml")),
@@ -25,7 +25,7 @@
     ("small", include_str!("../../scenarios/small.toml")),
 ];
 
-/// A scenario by its name, or from a file.
+/// Returns the built-in scenario of this name, or else reads the file with this path.
 pub fn find(name: &str) -> Result<Scenario, String> {
     if let Some((_, text)) = ALL.iter().find(|(n, _)| *n == name) {
         return Scenario::parse(Path::new(name), text);
@@ -33,7 +33,10 @@
     let path = Path::new(name);
     let text = std::fs::read_to_string(path).map_err(|e| {
         let names: Vec<&str> = ALL.iter().map(|(n, _)| *n).collect();
-        format!("{name:?} is none of {}, and cannot be read as a file: {e}", names.join(", "))
+        format!(
+            "{name:?} is not a built-in scenario ({}) and cannot be read as a file: {e}",
+            names.join(", ")
+        )
     })?;
     Scenario::parse(path, &text)
 }
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -1,5 +1,6 @@
-//! A scenario: the fleet, who comes and when, and what goes wrong. TOML with units; what is wrong with a file is
-//! one message with file, line and mend.
+//! Scenario files: the fleet, the client traffic and the faults to inject, written as TOML with units.
+//!
+//! A file with an error is rejected with one message that gives the file, the line and how to correct it.
 
 pub mod library;
 pub mod plan;
@@ -11,82 +12,82 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// A checked scenario.
+/// A validated scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// One line on what it rehearses.
+    /// One-line description of what the scenario tests.
     pub title: String,
-    /// How long it is scored.
+    /// Duration of the scored part of the run.
     pub length: Span,
-    /// How long it runs before that, to fill up.
-    #[serde(default = "lead")]
+    /// Duration of the unscored part before it, in which connections build up to the steady state.
+    #[serde(default = "default_lead")]
     pub lead: Span,
-    /// The fleet.
+    /// Servers, balancers and network.
     #[serde(default)]
     pub fleet: Fleet,
-    /// Zones; traffic, servers and balancers are spread by these parts.
-    #[serde(default = "zones")]
+    /// Zones, with the fractions by which traffic, servers and balancers are distributed.
+    #[serde(default = "default_zones")]
     pub zone: Vec<Zone>,
-    /// Machine models.
-    #[serde(default = "machines")]
+    /// Machine types of the session servers.
+    #[serde(default = "default_machines")]
     pub machine: Vec<Machine>,
-    /// Classes of requests.
-    #[serde(default = "classes")]
+    /// Request classes.
+    #[serde(default = "default_classes")]
     pub class: Vec<Class>,
     /// Teams and their traffic.
-    #[serde(default = "teams")]
+    #[serde(default = "default_teams")]
     pub team: Vec<Spanned<Team>>,
-    /// What goes wrong.
+    /// Faults to inject.
     #[serde(default)]
     pub fault: Vec<Spanned<Fault>>,
-    /// An operator's file for all balancers, as text.
+    /// Text of the operator's file that all balancers use.
     pub operator: Option<Spanned<String>>,
 }
 
-/// The fleet. The figures that are left out are the middle of the ranges that the operators state (their brief).
+/// The fleet. Defaults are the middle of the ranges that the operators state in their requirements.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Session servers.
+    /// Number of session servers.
     pub servers: usize,
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
-    /// Mean connections that fill a core of speed 1.
+    /// Number of mean connections that fully load one core of speed 1.
     pub per_core: f64,
-    /// Connections that a server holds at most, over those that fill it.
+    /// Maximum number of connections of a server, as a multiple of the number that fully loads it.
     pub cap: f64,
-    /// Set-ups that a server has in work or waiting at most.
+    /// Maximum number of connection set-ups that a server has in progress or queued.
     pub backlog: usize,
-    /// Work of one set-up, as the time of a core of speed 1.
+    /// Work of one connection set-up, as time on one core of speed 1.
     pub setup_work: Span,
-    /// What each server that holds any of a group pays for it, in mean connections.
+    /// Load, in mean connections, that a group adds to each server with at least one of its connections.
     pub group_cost: f64,
-    /// Mean connections of a group.
+    /// Mean number of connections in a group.
     pub group_size: f64,
-    /// Mean life of a connection of class life 1.
+    /// Mean lifetime of a connection of a class whose `life` is 1.
     pub life: Span,
-    /// A cold server's first share of its capacity, and how long it takes to be warm.
+    /// Share of its capacity that a server has right after its start.
     pub cold_share: f64,
-    /// The time until it is warm.
+    /// Time from a server's start until it has its full capacity.
     pub warm: Span,
-    /// Sent more than so many times what it can do ...
+    /// A cold server fails and stays down when it receives more than this multiple of its capacity ...
     pub fall_factor: f64,
-    /// ... for this long a cold server falls over and stays down.
+    /// ... for this long.
     pub fall_time: Span,
-    /// One way between zones, and within one.
+    /// One-way network latency between zones.
     pub between: Span,
-    /// Within a zone.
+    /// One-way network latency within a zone.
     pub within: Span,
-    /// How late discovery tells of a change, at least and at most.
+    /// Minimum and maximum delay with which discovery reports a change.
     pub told_after: (Span, Span),
-    /// How long discovery is busy with a call; calls wait in turn, and one that fails for it costs as much.
+    /// Time that discovery needs for one call. Calls are served one at a time, and a failed call takes as long.
     pub call: Span,
-    /// Memory and descriptors are not modelled; probes are allowed or not.
+    /// Whether balancers may probe servers. Memory and file descriptors are not modelled.
     pub probes: bool,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub attempts: u32,
-    /// The part of the clients that speak XMPP in a live run; in simulated time they are like all others.
+    /// Fraction of the clients that speak XMPP in a live run. In simulated time they behave like all others.
     pub xmpp: f64,
 }
 
@@ -118,157 +119,157 @@
     }
 }
 
-/// A zone.
+/// A zone and its fractions of traffic and servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name.
+    /// Zone name.
     pub name: String,
-    /// Its part of the traffic.
+    /// Fraction of the traffic.
     pub traffic: f64,
-    /// Its part of the servers.
+    /// Fraction of the servers.
     pub servers: f64,
 }
 
-/// A machine model.
+/// A machine type.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the type.
     pub name: String,
-    /// Its part of the fleet.
+    /// Fraction of the servers that are of this type.
     pub share: f64,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Speed of a core, at least and at most.
+    /// Minimum and maximum speed of a core.
     pub speed: (f64, f64),
 }
 
-/// A class.
+/// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Class name.
     pub name: String,
-    /// Its part of a team's new connections, unless the team says otherwise.
+    /// Fraction of a team's new connections, unless the team restricts its classes.
     pub share: f64,
-    /// Load, at least and at most, in those of class 1.
+    /// Minimum and maximum load of a connection, relative to a connection of load 1.
     pub load: (f64, f64),
-    /// Life, at least and at most.
+    /// Minimum and maximum lifetime of a connection, as a multiple of `fleet.life`.
     pub life: (f64, f64),
-    /// Set up within.
+    /// Target for the connection set-up time.
     pub setup: Span,
-    /// Given up after.
+    /// Time after which a client abandons its request.
     pub give_up: Span,
-    /// A message wanted within.
+    /// Target for the message delay.
     pub message: Span,
-    /// Worth of a second.
+    /// Value of one second of a connection.
     pub worth: f64,
 }
 
-/// A team and its traffic.
+/// A team and its client traffic.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Its name; clients say it.
+    /// Team name, which clients send with their requests.
     pub name: String,
-    /// New connections a second.
+    /// New connections per second.
     pub rate: f64,
-    /// Times the rate at points of time; straight between them, and as the last one after it.
+    /// Multipliers of the rate over time: linear between the points, constant after the last one.
     #[serde(default)]
     pub shape: Vec<Point>,
-    /// Only these classes.
+    /// Restricts the team to these classes.
     pub classes: Option<Vec<String>>,
 }
 
-/// A point of a shape.
+/// A point of a team's rate curve.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
-    /// When, from the start of the score.
+    /// Time since the start of the scored part.
     pub at: Span,
-    /// Times the rate.
+    /// Multiplier of the rate.
     pub times: f64,
 }
 
-/// Something that goes wrong, or is changed.
+/// A fault, or a change of traffic or settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, from the start of the score.
+    /// Start, as time since the start of the scored part.
     pub at: Span,
-    /// For how long.
-    #[serde(default = "no_time")]
+    /// Duration.
+    #[serde(default = "zero_duration")]
     pub length: Span,
-    /// What.
+    /// Kind of fault.
     pub kind: Kind,
-    /// The part of the servers (or clients, for `reconnect`) that it strikes.
+    /// Fraction of the servers (for `reconnect`, of the clients) that are affected.
     #[serde(default)]
     pub part: f64,
-    /// Only in this zone.
+    /// Restricts the fault to this zone.
     pub zone: Option<String>,
-    /// For `fast_errors` the share that fails, for `costly` of the class's requests.
+    /// For `fast_errors` the share of requests that fail, for `costly` the share of the class's requests affected.
     #[serde(default)]
     pub share: f64,
-    /// For `costly` and `surge`: so many times the usual.
-    #[serde(default = "once")]
+    /// For `costly` and `surge`: multiplier of the usual work or rate.
+    #[serde(default = "unit_factor")]
     pub times: f64,
-    /// For `costly` the class, for `surge` the team.
+    /// For `costly` the class name, for `surge` the team name.
     pub of: Option<String>,
-    /// For `contract`: the operator's file from then on.
+    /// For `contract`: text of the operator's file that applies from then on.
     pub operator: Option<String>,
 }
 
-/// Kinds of faults.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Servers die and come back cold after the length.
+    /// Servers crash and restart cold after the fault's length.
     Death,
-    /// Servers take requests and answer nothing; what stands there is silent.
+    /// Servers accept requests but never answer, and their established connections carry no data.
     Silence,
-    /// Servers fail a share of new requests at once.
+    /// Servers fail a share of new requests immediately.
     FastErrors,
-    /// A share of one class's new requests costs many times the usual work.
+    /// A share of one class's new requests needs a multiple of the usual set-up work.
     Costly,
-    /// A part of the clients drops and comes again within the length.
+    /// A fraction of the clients disconnects and reconnects within the fault's length.
     Reconnect,
-    /// Servers drain, send their clients away, and come back cold after the length.
+    /// Servers drain, move their clients elsewhere, and restart cold after the fault's length.
     Drain,
-    /// Balancers are started anew, one after the other or `part` of them at a time, each with SIGTERM first.
+    /// Balancers are restarted with SIGTERM, one after the other or `part` of them at a time.
     Restart,
-    /// Balancers are killed and come back after the length.
+    /// Balancers are killed and restart after the fault's length.
     Kill,
-    /// The network to the servers is cut.
+    /// The network to the servers is interrupted.
     Cut,
-    /// Discovery answers nothing and tells nothing.
+    /// Discovery neither answers calls nor reports changes.
     Discovery,
-    /// A team sends many times its rate.
+    /// A team sends a multiple of its usual rate.
     Surge,
-    /// Another operator's file is put in force.
+    /// Another operator's file takes effect.
     Contract,
 }
 
-fn lead() -> Span {
+fn default_lead() -> Span {
     Span(20_000_000)
 }
 
-fn no_time() -> Span {
+fn zero_duration() -> Span {
     Span(0)
 }
 
-fn once() -> f64 {
+fn unit_factor() -> f64 {
     1.0
 }
 
-/// The operators' three zones.
-fn zones() -> Vec<Zone> {
+/// Default zones: the operators' three.
+fn default_zones() -> Vec<Zone> {
     let zone = |name: &str, traffic, servers| Zone { name: name.into(), traffic, servers };
     vec![zone("manila", 0.4, 0.4), zone("cebu", 0.35, 0.3), zone("davao", 0.25, 0.3)]
 }
 
-/// The operators' machines (their brief).
-fn machines() -> Vec<Machine> {
+/// Default machine types, from the operators' requirements.
+fn default_machines() -> Vec<Machine> {
     let machine = |name: &str, share, speed| Machine { name: name.into(), share, cores: 2.0, speed };
     vec![
         machine("fast-2c", 0.27, (1.7, 2.3)),
@@ -277,8 +278,8 @@
     ]
 }
 
-/// The operators' classes (their brief).
-fn classes() -> Vec<Class> {
+/// Default classes, from the operators' requirements.
+fn default_classes() -> Vec<Class> {
     let ms = |ms: u64| Span(ms * 1000);
     vec![
         Class {
@@ -304,98 +305,109 @@
     ]
 }
 
-fn teams() -> Vec<Spanned<Team>> {
+fn default_teams() -> Vec<Spanned<Team>> {
     let team = Team { name: "association".into(), rate: 3.8, shape: Vec::new(), classes: None };
     vec![Spanned::new(0..0, team)]
 }
 
 impl Scenario {
-    /// Reads and checks a text; `path` is for the message.
+    /// Parses and validates a scenario. `path` is only used in error messages.
     pub fn parse(path: &Path, text: &str) -> Result<Scenario, String> {
-        let line =
+        let line_number =
             |at: usize| text.as_bytes()[..at.min(text.len())].iter().filter(|&&b| b == b'\n').count() + 1;
-        let said = |at: Option<usize>, what: &str| match at {
-            Some(at) => format!("{}:{}: {what}", path.display(), line(at)),
+        let locate = |at: Option<usize>, what: &str| match at {
+            Some(at) => format!("{}:{}: {what}", path.display(), line_number(at)),
             None => format!("{}: {what}", path.display()),
         };
         let scenario: Scenario = toml::from_str(text).map_err(|e| {
             let what = format!("{}; see docs/lab.md for the form", e.message().trim().replace('\n', " "));
-            said(e.span().map(|s| s.start), &what)
+            locate(e.span().map(|s| s.start), &what)
         })?;
-        scenario.check().map_err(|(at, what)| said(at, &what))?;
+        scenario.check().map_err(|(at, what)| locate(at, &what))?;
         Ok(scenario)
     }
 
-    /// What contradicts itself, where, and the mend.
+    /// Validates the values; the error has the byte offset, if known, and a message with the correction.
     fn check(&self) -> Result<(), (Option<usize>, String)> {
-        let whole = |ok: bool, what: &str| if ok { Ok(()) } else { Err((None, what.to_string())) };
-        let sums = |parts: &mut dyn Iterator<Item = f64>| (parts.sum::<f64>() - 1.0).abs() < 0.01;
-        whole(self.length.0 > 0, "length must be more than 0")?;
-        whole(self.length.0 + self.lead.0 <= 3_600_000_000, "a rehearsal of more than an hour: shorten it")?;
-        whole((1..=2000).contains(&self.fleet.servers), "fleet.servers must be 1 to 2000")?;
-        whole((0.0..=1.0).contains(&self.fleet.xmpp), "fleet.xmpp must be 0 to 1")?;
-        whole(
+        let require = |ok: bool, what: &str| if ok { Ok(()) } else { Err((None, what.to_string())) };
+        let sum_to_one = |parts: &mut dyn Iterator<Item = f64>| (parts.sum::<f64>() - 1.0).abs() < 0.01;
+        require(self.length.0 > 0, "length must be more than 0")?;
+        require(
+            self.length.0 + self.lead.0 <= 3_600_000_000,
+            "length and lead are more than an hour together: shorten them",
+        )?;
+        require((1..=2000).contains(&self.fleet.servers), "fleet.servers must be 1 to 2000")?;
+        require((0.0..=1.0).contains(&self.fleet.xmpp), "fleet.xmpp must be 0 to 1")?;
+        require(
             self.fleet.xmpp == 0.0 || self.operator.is_none(),
-            "fleet.xmpp needs an operator's file of its own for each balancer: leave `operator` out",
+            "fleet.xmpp needs a separate operator's file for each balancer: leave `operator` out",
+        )?;
+        require((1..=300).contains(&self.fleet.balancers), "fleet.balancers must be 1 to 300")?;
+        require(sum_to_one(&mut self.zone.iter().map(|z| z.traffic)), "the zones' `traffic` must sum to 1")?;
+        require(sum_to_one(&mut self.zone.iter().map(|z| z.servers)), "the zones' `servers` must sum to 1")?;
+        require(
+            sum_to_one(&mut self.machine.iter().map(|m| m.share)),
+            "the machines' `share` must sum to 1",
         )?;
-        whole((1..=300).contains(&self.fleet.balancers), "fleet.balancers must be 1 to 300")?;
-        whole(sums(&mut self.zone.iter().map(|z| z.traffic)), "the zones' traffic must sum to 1")?;
-        whole(sums(&mut self.zone.iter().map(|z| z.servers)), "the zones' servers must sum to 1")?;
-        whole(sums(&mut self.machine.iter().map(|m| m.share)), "the machines' shares must sum to 1")?;
-        whole(sums(&mut self.class.iter().map(|c| c.share)), "the classes' shares must sum to 1")?;
-        whole(!self.team.is_empty(), "there must be a [[team]]")?;
-        let class = |name: &str| self.class.iter().any(|c| c.name == name);
+        require(sum_to_one(&mut self.class.iter().map(|c| c.share)), "the classes' `share` must sum to 1")?;
+        require(!self.team.is_empty(), "there must be a [[team]]")?;
+        let class_exists = |name: &str| self.class.iter().any(|c| c.name == name);
         for team in &self.team {
             let (at, team) = (Some(team.span().start), team.get_ref());
             if !team.rate.is_finite() || team.rate < 0.0 {
                 return Err((at, format!("team {:?}: rate must be 0 or more", team.name)));
             }
-            if let Some(other) = team.classes.iter().flatten().find(|c| !class(c)) {
+            if let Some(unknown) = team.classes.iter().flatten().find(|c| !class_exists(c)) {
                 return Err((
                     at,
-                    format!("team {:?} names the unknown class {other:?}: correct one", team.name),
+                    format!(
+                        "team {:?}: unknown class {unknown:?}: correct the name or add the class",
+                        team.name
+                    ),
                 ));
             }
             if !team.shape.windows(2).all(|two| two[0].at.0 <= two[1].at.0) {
                 return Err((
                     at,
-                    format!("team {:?}: the points of its shape must stand in order", team.name),
+                    format!("team {:?}: the points of `shape` must be in ascending order of `at`", team.name),
                 ));
             }
         }
         for fault in &self.fault {
             let (at, fault) = (Some(fault.span().start), fault.get_ref());
-            let wrong = |what: String| Err((at, format!("fault {:?}: {what}", fault.kind)));
+            let reject = |what: String| Err((at, format!("fault {:?}: {what}", fault.kind)));
             if fault.at.0 >= self.length.0 {
-                return wrong("begins after the end: make `at` less than `length`".into());
+                return reject("starts after the end: make `at` less than the scenario's `length`".into());
             }
-            let struck = matches!(
+            let needs_part = matches!(
                 fault.kind,
                 Kind::Death | Kind::Silence | Kind::FastErrors | Kind::Drain | Kind::Cut | Kind::Reconnect
             );
-            let part = fault.part > 0.0 && fault.part <= 1.0;
-            if struck && !part {
-                return wrong("needs a `part` of more than 0 and at most 1".into());
+            let has_part = fault.part > 0.0 && fault.part <= 1.0;
+            if needs_part && !has_part {
+                return reject("needs a `part` of more than 0 and at most 1".into());
             }
             if fault.length.0 == 0 && !matches!(fault.kind, Kind::Contract) {
-                return wrong("needs a `length` of more than 0".into());
+                return reject("needs a `length` of more than 0".into());
             }
             if let Some(zone) = fault.zone.as_ref().filter(|name| !self.zone.iter().any(|z| z.name == **name))
             {
-                return wrong(format!("unknown zone {zone:?}: correct it"));
+                return reject(format!("unknown zone {zone:?}: correct the name or add the zone"));
             }
             match (fault.kind, &fault.of) {
-                (Kind::Costly, of) if !of.as_deref().is_some_and(class) => {
-                    return wrong("needs a class in `of`".into());
+                (Kind::Costly, of) if !of.as_deref().is_some_and(class_exists) => {
+                    return reject("needs the name of a class in `of`".into());
                 }
                 (Kind::Surge, Some(of)) if self.team.iter().any(|t| t.get_ref().name == *of) => {}
-                (Kind::Surge, _) => return wrong("needs a team in `of`".into()),
+                (Kind::Surge, _) => return reject("needs a team in `of`".into()),
                 _ => {}
             }
             if fault.kind == Kind::Contract {
-                let Some(text) = &fault.operator else { return wrong("needs a text in `operator`".into()) };
+                let Some(text) = &fault.operator else {
+                    return reject("needs the text of an operator's file in `operator`".into());
+                };
                 if let Err(e) = Operator::parse(Path::new("operator"), text) {
-                    return wrong(e.to_string());
+                    return reject(e.to_string());
                 }
             }
         }
@@ -407,31 +419,31 @@
         Ok(())
     }
 
-    /// The mean load of a connection that stands, in those of class 1.
+    /// Returns the mean load of an established connection, relative to a connection of load 1.
     pub fn mean_load(&self) -> f64 {
         let middle = |r: (f64, f64)| (r.0 + r.1) / 2.0;
         let life: f64 = self.class.iter().map(|c| c.share * middle(c.life)).sum();
         self.class.iter().map(|c| c.share * middle(c.life) * middle(c.load)).sum::<f64>() / life
     }
 
-    /// The mean life of a connection.
-    pub fn mean_life(&self) -> f64 {
+    /// Returns the mean lifetime of a connection, in microseconds.
+    pub fn mean_lifetime(&self) -> f64 {
         let life: f64 = self.class.iter().map(|c| c.share * (c.life.0 + c.life.1) / 2.0).sum();
         life * self.fleet.life.0 as f64
     }
 
-    /// Connections that are wanted at a time while nothing is shaped.
-    pub fn standing(&self) -> f64 {
-        self.team.iter().map(|t| t.get_ref().rate).sum::<f64>() * self.mean_life() / 1e6
+    /// Returns the mean number of connections wanted at a time, with every team at its base rate.
+    pub fn steady_connections(&self) -> f64 {
+        self.team.iter().map(|t| t.get_ref().rate).sum::<f64>() * self.mean_lifetime() / 1e6
     }
 
-    /// When the score begins and when all ends.
-    pub fn span(&self) -> (Micros, Micros) {
+    /// Returns the start of the scored part and the end of the run.
+    pub fn scored_interval(&self) -> (Micros, Micros) {
         (self.lead.0, self.lead.0 + self.length.0)
     }
 
-    /// The settings of one balancer, as the platform's configuration has them.
-    pub fn settings(&self, zone: usize) -> serde_json::Value {
+    /// Returns the settings of a balancer in the given zone, in the format of the platform's configuration.
+    pub fn balancer_settings(&self, zone: usize) -> serde_json::Value {
         let ms = |us: Micros| us as f64 / 1000.0;
         let classes: Vec<_> = self
             .class
--- a/lab/src/virt/decider.rs
+++ b/lab/src/virt/decider.rs
@@ -1,6 +1,6 @@
 //! Who decides at a balancer.
 
-use crate::scenario::plan::stream;
+use crate::scenario::plan::random_stream;
 use crate::scenario::Scenario;
 use oakdeal::broker::core::Core;
 use oakdeal::broker::zones::BalancerContext;
@@ -91,7 +91,7 @@
     zone: usize,
     seed: u64,
 ) -> Result<Box<dyn Decider>, String> {
-    let settings = scenario.settings(zone);
+    let settings = scenario.balancer_settings(zone);
     Ok(match choice {
         Choice::Own => {
             let env: Env = serde_json::from_value(settings).map_err(|e| e.to_string())?;
@@ -120,7 +120,7 @@
         Choice::Drill(path) => Box::new(super::drill::Drill::start(path, &settings, seed)?),
         Choice::Random | Choice::Least => Box::new(Yardstick {
             least: *choice == Choice::Least,
-            rng: stream(seed, "yardstick"),
+            rng: random_stream(seed, "yardstick"),
             most: scenario.fleet.attempts as usize,
             ..Yardstick::new(seed)
         }),
@@ -190,7 +190,7 @@
     fn new(seed: u64) -> Yardstick {
         Yardstick {
             least: false,
-            rng: stream(seed, "yardstick"),
+            rng: random_stream(seed, "yardstick"),
             most: 4,
             ready: BTreeSet::new(),
             held: BTreeMap::new(),
--- a/lab/src/virt/engine.rs
+++ b/lab/src/virt/engine.rs
@@ -5,7 +5,9 @@
 use crate::model::discovery::Discovery;
 use crate::model::network::Network;
 use crate::model::server::{Job, Server};
-use crate::scenario::plan::{draw, stream, wait, Plan, BREAK, MOVE};
+use crate::scenario::plan::{
+    next_uniform, random_stream, retry_delay, Workload, RECONNECT_AFTER_BREAK_US, RECONNECT_AFTER_MOVE_US,
+};
 use crate::scenario::Scenario;
 use crate::score::record::{letter, Attempt, Entry, Reader, What};
 use oakdeal::contracts::Terms;
@@ -160,7 +162,7 @@
 /// The world.
 pub(super) struct World<'a> {
     pub(super) scenario: &'a Scenario,
-    pub(super) plan: &'a Plan,
+    pub(super) plan: &'a Workload,
     pub(super) choice: &'a Choice,
     pub(super) seed: u64,
     pub(super) now: Micros,
@@ -213,7 +215,7 @@
     choice: &Choice,
     reader: &mut dyn Reader,
 ) -> Result<(), String> {
-    let plan = Plan::draw(scenario, seed);
+    let plan = Workload::draw(scenario, seed);
     play_plan(scenario, name, seed, &plan, choice, reader, None)
 }
 
@@ -225,7 +227,7 @@
     scenario: &Scenario,
     name: &str,
     seed: u64,
-    plan: &Plan,
+    plan: &Workload,
     choice: &Choice,
     reader: &mut dyn Reader,
     own: Option<Wrap>,
@@ -299,7 +301,7 @@
         clients: plan.clients.iter().map(client).collect(),
         network: Network::new(&scenario.fleet),
         discovery: Discovery::new(entries.collect(), scenario.fleet.call.0),
-        lag: stream(seed, "lag"),
+        lag: random_stream(seed, "lag"),
         reader,
         wants: vec![0; cells],
         asked: vec![0.0; cells],
@@ -313,7 +315,7 @@
 
 impl World<'_> {
     pub(super) fn run(&mut self, name: &str) -> Result<(), String> {
-        let (begin, end) = self.scenario.span();
+        let (begin, end) = self.scenario.scored_interval();
         let terms: Option<Terms> = match (&self.scenario.operator, self.choice) {
             (Some(text), Choice::Own) => operator(text.get_ref())?.terms,
             _ => None,
@@ -339,7 +341,7 @@
             self.nodes[n].list = self.discovery.list().into_iter().map(listed).collect();
             self.known(n);
         }
-        for (i, strike) in self.plan.strikes.iter().enumerate() {
+        for (i, strike) in self.plan.faults.iter().enumerate() {
             self.at(strike.from, Ev::Begin(i));
             if strike.fault.length.0 > 0 {
                 self.at(strike.until, Ev::End(i));
@@ -351,9 +353,9 @@
         let (plan, mut next) = (self.plan, 0);
         loop {
             let due = self.queue.peek().map_or(Micros::MAX, |Reverse(item)| item.at);
-            match plan.clients.get(next).filter(|c| c.at <= due) {
-                Some(c) if c.at <= end => {
-                    self.now = c.at;
+            match plan.clients.get(next).filter(|c| c.arrival <= due) {
+                Some(c) if c.arrival <= end => {
+                    self.now = c.arrival;
                     next += 1;
                     self.come(next as u32 - 1);
                 }
@@ -390,7 +392,7 @@
 
     /// A draw of a client's own, from 0 to 1.
     pub(super) fn draw(&mut self, c: u32) -> f64 {
-        draw(&mut self.clients[c as usize].draws)
+        next_uniform(&mut self.clients[c as usize].draws)
     }
 
     pub(super) fn between(&mut self, c: u32, (low, high): (f64, f64)) -> Micros {
@@ -536,7 +538,7 @@
         let client = &mut self.clients[c as usize];
         client.phase = Phase::Out;
         client.failed += 1;
-        let wait = wait(client.failed, chance).max(told.unwrap_or(0));
+        let wait = retry_delay(client.failed, chance).max(told.unwrap_or(0));
         self.at(self.now + wait, Ev::Come(c));
     }
 
@@ -584,7 +586,7 @@
         self.note(What::Moved { node, call: call.0.to_string() });
         self.clients[c as usize].phase = Phase::Out;
         self.over(c, Outcome::Cancelled);
-        self.returns(c, MOVE);
+        self.returns(c, RECONNECT_AFTER_MOVE_US);
     }
 
     /// When a server's next set-up ends may have changed.
@@ -626,7 +628,7 @@
                 }
                 self.clients[c as usize].phase = Phase::Out;
                 self.over(c, if moved { Outcome::Cancelled } else { Outcome::Reset });
-                self.returns(c, if moved { MOVE } else { BREAK });
+                self.returns(c, if moved { RECONNECT_AFTER_MOVE_US } else { RECONNECT_AFTER_BREAK_US });
             }
             Ev::Timer(n, epoch, token) => {
                 if self.nodes[n].up && self.nodes[n].epoch == epoch {
--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -2,7 +2,7 @@
 
 use super::decider::{decider, operator, Choice};
 use super::engine::{server_of, Change, Ev, Listed, Phase, World, NEXT, NOTICED, NOTIFIED_AFTER, TERM};
-use crate::scenario::plan::{Strike, BREAK};
+use crate::scenario::plan::{ScheduledFault, RECONNECT_AFTER_BREAK_US};
 use crate::scenario::Kind;
 use crate::score::record::{letter, Attempt, What};
 use oakdeal::broker::SILENT;
@@ -110,7 +110,7 @@
     }
 
     pub(super) fn begin(&mut self, i: usize) {
-        let strike: Strike = self.plan.strikes[i].clone();
+        let strike: ScheduledFault = self.plan.faults[i].clone();
         let text = match (&strike.fault.zone, &strike.fault.of) {
             (Some(place), _) | (None, Some(place)) => format!("{:?} ({place})", strike.fault.kind),
             _ => format!("{:?}", strike.fault.kind),
@@ -195,7 +195,7 @@
     }
 
     pub(super) fn end(&mut self, i: usize) {
-        let strike: Strike = self.plan.strikes[i].clone();
+        let strike: ScheduledFault = self.plan.faults[i].clone();
         let now = self.now;
         for &server in &strike.servers {
             let h = &mut self.hosts[server];
@@ -255,7 +255,7 @@
                 Phase::Asking => {}
                 Phase::Out | Phase::Done => continue,
             }
-            self.returns(c, BREAK);
+            self.returns(c, RECONNECT_AFTER_BREAK_US);
         }
         self.at(self.now + down, Ev::Back(n));
         if self.nodes[n].open {
--- a/lab/src/virt/requests.rs
+++ b/lab/src/virt/requests.rs
@@ -3,7 +3,7 @@
 use super::decider::AHEAD;
 use super::engine::{host_id, Ev, Phase, World, CONNECT};
 use crate::model::server::{Came, Job};
-use crate::scenario::plan::{CHANGE, SWING};
+use crate::scenario::plan::{LOAD_CHANGE_FACTOR, MEAN_LOAD_CHANGE_INTERVAL_US};
 use crate::score::record::{Attempt, What};
 use oakdeal::broker::SILENT;
 use oakdeal::{Demand, Event, Outcome};
@@ -11,7 +11,7 @@
 impl World<'_> {
     pub(super) fn come(&mut self, c: u32) {
         let p = &self.plan.clients[c as usize];
-        let (until, class, team, zone, group) = (p.at + p.life, p.class, p.team, p.zone, p.group);
+        let (until, class, team, zone, group) = (p.arrival + p.lifetime, p.class, p.team, p.zone, p.group);
         if self.clients[c as usize].phase != Phase::Out || self.now >= until {
             return;
         }
@@ -75,7 +75,8 @@
             return;
         }
         let (server, node) = (self.clients[job.0 as usize].server, self.clients[job.0 as usize].node);
-        let (load, cost) = (self.clients[job.0 as usize].load, self.plan.clients[job.0 as usize].cost);
+        let (load, cost) =
+            (self.clients[job.0 as usize].load, self.plan.clients[job.0 as usize].setup_factor);
         let way = self.way(node, server);
         let chance = self.draw(job.0);
         let now = self.now;
@@ -140,7 +141,7 @@
             self.tell(n, Event::Opened { call: call.clone(), host: host_id(server), elapsed });
             let load = self.hosts[server].model.told(load);
             self.tell(n, Event::LoadNote { call, load });
-            let wait = self.between(c, (0.0, 2.0 * CHANGE));
+            let wait = self.between(c, (0.0, 2.0 * MEAN_LOAD_CHANGE_INTERVAL_US));
             self.at(self.now + wait, Ev::Change((c, serial)));
             if self.hosts[server].silent.is_some() || !self.hosts[server].up {
                 // It fell silent or died while the answer was on its way.
@@ -243,7 +244,7 @@
             return;
         }
         let (n, server) = (client.node, client.server);
-        let part = SWING.0 + (SWING.1 - SWING.0) * self.draw(c);
+        let part = LOAD_CHANGE_FACTOR.0 + (LOAD_CHANGE_FACTOR.1 - LOAD_CHANGE_FACTOR.0) * self.draw(c);
         let load = self.plan.clients[c as usize].load * part;
         self.clients[c as usize].load = load;
         let now = self.now;
@@ -254,7 +255,7 @@
             let call = self.call(c);
             self.tell(n, Event::LoadNote { call, load });
         }
-        let wait = self.between(c, (0.0, 2.0 * CHANGE));
+        let wait = self.between(c, (0.0, 2.0 * MEAN_LOAD_CHANGE_INTERVAL_US));
         self.at(self.now + wait, Ev::Change(job));
     }
 }
--- a/lab/src/virt/seconds.rs
+++ b/lab/src/virt/seconds.rs
@@ -58,7 +58,7 @@
                 }
             }
         }
-        let (begin, _) = self.scenario.span();
+        let (begin, _) = self.scenario.scored_interval();
         let (asked, served) = (std::mem::take(&mut self.asked), std::mem::take(&mut self.served));
         (self.asked, self.served) = (vec![0.0; asked.len()], vec![0.0; asked.len()]);
         if now <= begin {
--- a/lab/tests/lab.rs
+++ b/lab/tests/lab.rs
@@ -7,7 +7,7 @@
 use oakdeal_lab::model::server::{Came, Server};
 use oakdeal_lab::model::setups::Setups;
 use oakdeal_lab::report::fleet::Counts;
-use oakdeal_lab::scenario::plan::{stream, Machine, Plan};
+use oakdeal_lab::scenario::plan::{random_stream, Machine, Workload};
 use oakdeal_lab::scenario::{library, Fleet, Scenario};
 use oakdeal_lab::score::checker::{Checker, Rule};
 use oakdeal_lab::score::record::{replay, Attempt, Entry, Reader, What, Writer};
@@ -175,7 +175,7 @@
         let outcome = service.outcome().unwrap();
         // Those that stand or are asked for at the end have no end; all others have one.
         assert!(
-            left as f64 <= 1.6 * library::find(name).unwrap().standing() + 60.0,
+            left as f64 <= 1.6 * library::find(name).unwrap().steady_connections() + 60.0,
             "{name}: {left} have no end"
         );
         assert!(outcome.requests as usize == asked.len() && outcome.service > 0.3, "{name}: {outcome:?}");
@@ -189,7 +189,7 @@
 #[test]
 fn a_server_that_shares_its_processor_has_the_mean_that_theory_knows() {
     for load in [0.3, 0.6, 0.8] {
-        let mut rng = stream(11, "queue");
+        let mut rng = random_stream(11, "queue");
         let (mut queue, mut came) = (Setups::new(0), BTreeMap::new());
         queue.rate(0, 1.0, 1.0);
         let (work, mut now, mut next, mut sum, mut n) = (10_000.0, 0u64, 0u64, 0u128, 0u64);
@@ -306,7 +306,7 @@
 }
 
 fn broken(scenario: &Scenario, wrap: &dyn Fn(Box<dyn Decider>) -> Box<dyn Decider>) -> BTreeMap<Rule, u64> {
-    let (plan, mut service) = (Plan::draw(scenario, 5), Service::default());
+    let (plan, mut service) = (Workload::draw(scenario, 5), Service::default());
     play_plan(scenario, "planted", 5, &plan, &Choice::Own, &mut service, Some(wrap)).unwrap();
     let outcome = service.outcome().unwrap();
     assert!(outcome.breaks.is_empty() || outcome.score == 0.0, "a broken rule makes the day worth nothing");
@@ -362,7 +362,7 @@
         library::find(name).unwrap_or_else(|e| panic!("{e}"));
     }
     let large = library::find("large").unwrap();
-    assert!(large.fleet.servers == 400 && large.standing() > 55_000.0, "{}", large.standing());
+    assert!(large.fleet.servers == 400 && large.steady_connections() > 55_000.0, "{}", large.steady_connections());
     assert!(oakdeal_lab::live::site::too_large(&large).unwrap().contains("cannot be played live"));
     let head = "title = \"x\"\nlength = \"10s\"\n";
     for (more, line, mend) in [
