--- a/lab/src/fleet/zones.rs
+++ b/lab/src/fleet/zones.rs
@@ -78,7 +78,6 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(25);
 /// Time after the last fault in which the connections must be back in their own zones.
 const RETURN_TIMEOUT: Duration = Duration::from_secs(60);
-
 /// Time after the last follower of a plan from which another follower counts as restarted, in milliseconds.
 const RESTARTED_AFTER_MS: u64 = 3_000;
 
