--- a/lab/src/virt/decider.rs
+++ b/lab/src/virt/decider.rs
@@ -1,6 +1,6 @@
 //! Deciders: the implementations that take the decisions of a simulated balancer.
 
-use crate::scenario::plan::stream;
+use crate::scenario::plan::random_stream;
 use crate::scenario::Scenario;
 use oakdeal::broker::core::Core;
 use oakdeal::broker::zones::BalancerContext;
@@ -91,7 +91,7 @@
     zone: usize,
     seed: u64,
 ) -> Result<Box<dyn Decider>, String> {
-    let settings = scenario.settings(zone);
+    let settings = scenario.balancer_settings(zone);
     Ok(match choice {
         DeciderChoice::Own => {
             let env: Env = serde_json::from_value(settings).map_err(|e| e.to_string())?;
@@ -121,7 +121,7 @@
         DeciderChoice::Random | DeciderChoice::Least => Box::new(Baseline {
             least_connections: *choice == DeciderChoice::Least,
             // The label selects the random stream; another label would change the results of the baselines.
-            rng: stream(seed, "yardstick"),
+            rng: random_stream(seed, "yardstick"),
             max_attempts: scenario.fleet.attempts as usize,
             ..Baseline::new(seed)
         }),
@@ -197,7 +197,7 @@
     fn new(seed: u64) -> Baseline {
         Baseline {
             least_connections: false,
-            rng: stream(seed, "yardstick"),
+            rng: random_stream(seed, "yardstick"),
             max_attempts: 4,
             ready: BTreeSet::new(),
             connections: BTreeMap::new(),
--- a/lab/src/virt/engine.rs
+++ b/lab/src/virt/engine.rs
@@ -5,7 +5,9 @@
 use crate::model::discovery::Discovery;
 use crate::model::network::Network;
 use crate::model::server::{Job, Server};
-use crate::scenario::plan::{draw, stream, wait, Plan, BREAK, MOVE};
+use crate::scenario::plan::{
+    next_uniform, random_stream, retry_delay, Workload, RECONNECT_AFTER_BREAK_US, RECONNECT_AFTER_MOVE_US,
+};
 use crate::scenario::Scenario;
 use crate::score::record::{state_letter, AttemptOutcome, Entry, EntrySink, RunEvent};
 use oakdeal::contracts::Terms;
@@ -203,7 +205,7 @@
 /// State of a simulation.
 pub(super) struct Simulation<'a> {
     pub(super) scenario: &'a Scenario,
-    pub(super) plan: &'a Plan,
+    pub(super) plan: &'a Workload,
     pub(super) choice: &'a DeciderChoice,
     pub(super) seed: u64,
     pub(super) now: Micros,
@@ -259,7 +261,7 @@
     choice: &DeciderChoice,
     sink: &mut dyn EntrySink,
 ) -> Result<(), String> {
-    let plan = Plan::draw(scenario, seed);
+    let plan = Workload::draw(scenario, seed);
     simulate_plan(scenario, name, seed, &plan, choice, sink, None)
 }
 
@@ -271,7 +273,7 @@
     scenario: &Scenario,
     name: &str,
     seed: u64,
-    plan: &Plan,
+    plan: &Workload,
     choice: &DeciderChoice,
     sink: &mut dyn EntrySink,
     wrapper: Option<DeciderWrapper>,
@@ -345,7 +347,7 @@
         clients: plan.clients.iter().map(new_client).collect(),
         network: Network::new(&scenario.fleet),
         discovery: Discovery::new(entries.collect(), scenario.fleet.call.0),
-        notification_rng: stream(seed, "lag"),
+        notification_rng: random_stream(seed, "lag"),
         sink,
         wanted: vec![0; cells],
         asked_worth: vec![0.0; cells],
@@ -360,7 +362,7 @@
 impl Simulation<'_> {
     /// Runs all events up to the end of the scenario.
     pub(super) fn run(&mut self, name: &str) -> Result<(), String> {
-        let (begin, end) = self.scenario.span();
+        let (begin, end) = self.scenario.scored_interval();
         let terms: Option<Terms> = match (&self.scenario.operator, self.choice) {
             (Some(text), DeciderChoice::Own) => parse_operator(text.get_ref())?.terms,
             _ => None,
@@ -387,7 +389,7 @@
             self.nodes[node_id].list = self.discovery.list().into_iter().map(listed).collect();
             self.load_cached_list(node_id);
         }
-        for (i, strike) in self.plan.strikes.iter().enumerate() {
+        for (i, strike) in self.plan.faults.iter().enumerate() {
             self.schedule(strike.from, SimEvent::FaultBegins(i));
             if strike.fault.length.0 > 0 {
                 self.schedule(strike.until, SimEvent::FaultEnds(i));
@@ -399,9 +401,9 @@
         let (plan, mut next_client) = (self.plan, 0);
         loop {
             let due = self.queue.peek().map_or(Micros::MAX, |Reverse(item)| item.at);
-            match plan.clients.get(next_client).filter(|c| c.at <= due) {
-                Some(client) if client.at <= end => {
-                    self.now = client.at;
+            match plan.clients.get(next_client).filter(|c| c.arrival <= due) {
+                Some(client) if client.arrival <= end => {
+                    self.now = client.arrival;
                     next_client += 1;
                     self.client_arrives(next_client as u32 - 1);
                 }
@@ -438,7 +440,7 @@
 
     /// Draws a random number from 0 to 1 from the client's own generator.
     pub(super) fn draw(&mut self, client_id: u32) -> f64 {
-        draw(&mut self.clients[client_id as usize].random_state)
+        next_uniform(&mut self.clients[client_id as usize].random_state)
     }
 
     pub(super) fn draw_between(&mut self, client_id: u32, (low, high): (f64, f64)) -> Micros {
@@ -592,7 +594,7 @@
         let client = &mut self.clients[client_id as usize];
         client.phase = Phase::Waiting;
         client.consecutive_failures += 1;
-        let wait = wait(client.consecutive_failures, chance).max(retry_after.unwrap_or(0));
+        let wait = retry_delay(client.consecutive_failures, chance).max(retry_after.unwrap_or(0));
         self.schedule(self.now + wait, SimEvent::ClientArrives(client_id));
     }
 
@@ -643,7 +645,7 @@
         self.record(RunEvent::Moved { node, call: call.0.to_string() });
         self.clients[client_id as usize].phase = Phase::Waiting;
         self.end_connection(client_id, Outcome::Cancelled);
-        self.schedule_return(client_id, MOVE);
+        self.schedule_return(client_id, RECONNECT_AFTER_MOVE_US);
     }
 
     /// Reschedules the completion of a server's next set-up.
@@ -690,7 +692,7 @@
                 }
                 self.clients[client_id as usize].phase = Phase::Waiting;
                 self.end_connection(client_id, if moved { Outcome::Cancelled } else { Outcome::Reset });
-                self.schedule_return(client_id, if moved { MOVE } else { BREAK });
+                self.schedule_return(client_id, if moved { RECONNECT_AFTER_MOVE_US } else { RECONNECT_AFTER_BREAK_US });
             }
             SimEvent::Timer(node_id, epoch, token) => {
                 if self.nodes[node_id].up && self.nodes[node_id].epoch == epoch {
--- a/lab/src/virt/faults.rs
+++ b/lab/src/virt/faults.rs
@@ -5,7 +5,7 @@
     server_of, ListChange, ListedEntry, Phase, SimEvent, Simulation, ASSUMED_NOTIFIED_AFTER,
     FAILURE_DETECTION_TIME, NEXT_MESSAGE_WITHIN, RESTART_INTERVAL, TERM_TO_KILL,
 };
-use crate::scenario::plan::{Strike, BREAK};
+use crate::scenario::plan::{ScheduledFault, RECONNECT_AFTER_BREAK_US};
 use crate::scenario::Kind;
 use crate::score::record::{state_letter, AttemptOutcome, RunEvent};
 use oakdeal::broker::SILENCE_TIMEOUT;
@@ -133,7 +133,7 @@
 
     /// Starts a fault of the plan.
     pub(super) fn begin_fault(&mut self, i: usize) {
-        let strike: Strike = self.plan.strikes[i].clone();
+        let strike: ScheduledFault = self.plan.faults[i].clone();
         let text = match (&strike.fault.zone, &strike.fault.of) {
             (Some(place), _) | (None, Some(place)) => format!("{:?} ({place})", strike.fault.kind),
             _ => format!("{:?}", strike.fault.kind),
@@ -237,7 +237,7 @@
 
     /// Ends a fault of the plan.
     pub(super) fn end_fault(&mut self, i: usize) {
-        let strike: Strike = self.plan.strikes[i].clone();
+        let strike: ScheduledFault = self.plan.faults[i].clone();
         let now = self.now;
         for &server in &strike.servers {
             let host = &mut self.hosts[server];
@@ -300,7 +300,7 @@
                 Phase::Requested => {}
                 Phase::Waiting | Phase::Finished => continue,
             }
-            self.schedule_return(client_id, BREAK);
+            self.schedule_return(client_id, RECONNECT_AFTER_BREAK_US);
         }
         self.schedule(self.now + down, SimEvent::BalancerRestarts(node_id));
         if self.nodes[node_id].in_rotation {
--- a/lab/src/virt/requests.rs
+++ b/lab/src/virt/requests.rs
@@ -3,7 +3,7 @@
 use super::decider::ANSWER_MARGIN;
 use super::engine::{host_id, Phase, SimEvent, Simulation, CONNECT_TIMEOUT, NEXT_MESSAGE_WITHIN};
 use crate::model::server::{Arrival, Job};
-use crate::scenario::plan::{CHANGE, SWING};
+use crate::scenario::plan::{LOAD_CHANGE_FACTOR, MEAN_LOAD_CHANGE_INTERVAL_US};
 use crate::score::record::{AttemptOutcome, RunEvent};
 use oakdeal::broker::SILENCE_TIMEOUT;
 use oakdeal::{Demand, Event, Micros, Outcome};
@@ -17,7 +17,7 @@
     /// Sends a client's first or repeated request to a balancer.
     pub(super) fn client_arrives(&mut self, client_id: u32) {
         let p = &self.plan.clients[client_id as usize];
-        let (until, class, team, zone, group) = (p.at + p.life, p.class, p.team, p.zone, p.group);
+        let (until, class, team, zone, group) = (p.arrival + p.lifetime, p.class, p.team, p.zone, p.group);
         if self.clients[client_id as usize].phase != Phase::Waiting || self.now >= until {
             return;
         }
@@ -92,7 +92,8 @@
             return;
         }
         let (server, node) = (self.clients[job.0 as usize].server, self.clients[job.0 as usize].node);
-        let (load, cost) = (self.clients[job.0 as usize].load, self.plan.clients[job.0 as usize].cost);
+        let (load, cost) =
+            (self.clients[job.0 as usize].load, self.plan.clients[job.0 as usize].setup_factor);
         let delay = self.one_way_delay(node, server);
         let chance = self.draw(job.0);
         let now = self.now;
@@ -164,7 +165,7 @@
             self.deliver_event(node_id, Event::Opened { call: call.clone(), host: host_id(server), elapsed });
             let load = self.hosts[server].model.reported_load(load);
             self.deliver_event(node_id, Event::LoadNote { call, load });
-            let wait = self.draw_between(client_id, (0.0, 2.0 * CHANGE));
+            let wait = self.draw_between(client_id, (0.0, 2.0 * MEAN_LOAD_CHANGE_INTERVAL_US));
             self.schedule(self.now + wait, SimEvent::LoadChanges((client_id, serial)));
             if self.hosts[server].silent_since.is_some() || !self.hosts[server].up {
                 // The server became unresponsive or died while its answer was in transit.
@@ -280,7 +281,7 @@
             return;
         }
         let (node_id, server) = (client.node, client.server);
-        let part = SWING.0 + (SWING.1 - SWING.0) * self.draw(client_id);
+        let part = LOAD_CHANGE_FACTOR.0 + (LOAD_CHANGE_FACTOR.1 - LOAD_CHANGE_FACTOR.0) * self.draw(client_id);
         let load = self.plan.clients[client_id as usize].load * part;
         self.clients[client_id as usize].load = load;
         let now = self.now;
@@ -291,7 +292,7 @@
             let call = self.call_id(client_id);
             self.deliver_event(node_id, Event::LoadNote { call, load });
         }
-        let wait = self.draw_between(client_id, (0.0, 2.0 * CHANGE));
+        let wait = self.draw_between(client_id, (0.0, 2.0 * MEAN_LOAD_CHANGE_INTERVAL_US));
         self.schedule(self.now + wait, SimEvent::LoadChanges(job));
     }
 }
--- a/lab/src/virt/seconds.rs
+++ b/lab/src/virt/seconds.rs
@@ -63,7 +63,7 @@
                 }
             }
         }
-        let (begin, _) = self.scenario.span();
+        let (begin, _) = self.scenario.scored_interval();
         let (asked, served) = (std::mem::take(&mut self.asked_worth), std::mem::take(&mut self.served_worth));
         (self.asked_worth, self.served_worth) = (vec![0.0; asked.len()], vec![0.0; asked.len()]);
         if now <= begin {
--- a/tests/relay/mod.rs
+++ b/tests/relay/mod.rs
@@ -7,8 +7,8 @@
 #[path = "../../lab/src/fleet/link.rs"]
 pub mod link;
 
-pub use checker::{check, Act};
-use link::{free, relay, Way};
+pub use checker::{check, LoggedAction};
+use link::{free_address, relay, LinkDirection};
 
 use super::peers::{list_entry, watch_line, Discovery, LineConnection, SETTINGS};
 use std::io::{BufRead, BufReader};
@@ -32,7 +32,7 @@
     dir: PathBuf,
     discovery: Discovery,
     instance: SocketAddr,
-    links: Vec<Vec<Arc<Way>>>,
+    links: Vec<Vec<Arc<LinkDirection>>>,
     stopped: Arc<AtomicBool>,
     processes: Vec<Process>,
     /// Log lines of all processes, each with the number of its process.
@@ -69,13 +69,14 @@
         let key = dir.join("key");
         std::fs::write(&key, "a key for tests, and nothing else\n").unwrap();
         std::fs::set_permissions(&key, PermissionsExt::from_mode(0o600)).unwrap();
-        let addresses: Vec<SocketAddr> = (0..process_count).map(|_| free()).collect();
+        let addresses: Vec<SocketAddr> = (0..process_count).map(|_| free_address()).collect();
         let stopped = Arc::new(AtomicBool::new(false));
         let mut links = Vec::new();
         for i in 0..process_count {
             let (mut row, mut members) = (Vec::new(), String::new());
             for (j, to) in addresses.iter().enumerate() {
-                let (socket, way) = (UdpSocket::bind("127.0.0.1:0").unwrap(), Arc::new(Way::default()));
+                let (socket, way) =
+                    (UdpSocket::bind("127.0.0.1:0").unwrap(), Arc::new(LinkDirection::default()));
                 members +=
                     &format!("n{j} = \"{}\"\n", if i == j { *to } else { socket.local_addr().unwrap() });
                 row.push(way.clone());
@@ -188,7 +189,7 @@
     }
 
     /// Applies `change` to the links from each of `from` to each of `to`.
-    pub fn change_links(&self, from: &[usize], to: &[usize], change: impl Fn(&Way)) {
+    pub fn change_links(&self, from: &[usize], to: &[usize], change: impl Fn(&LinkDirection)) {
         from.iter().for_each(|&i| to.iter().for_each(|&j| change(&self.links[i][j])));
     }
 
@@ -268,9 +269,9 @@
     }
 
     /// Returns all acts, as logged by the process that acted and by each that received them.
-    pub fn acts(&self) -> Vec<Act> {
+    pub fn acts(&self) -> Vec<LoggedAction> {
         let log = self.log.lock().unwrap();
-        log.iter().filter_map(|(witness, line)| Act::read(*witness, line)).collect()
+        log.iter().filter_map(|(witness, line)| LoggedAction::parse(*witness, line)).collect()
     }
 }
 
