--- a/lab/src/cli/compare.rs
+++ b/lab/src/cli/compare.rs
@@ -68,7 +68,7 @@
             "B broke",
         ]);
         let mut add_comparison = |name: &str,
-                        pairs: Vec<(
+                                  pairs: Vec<(
             &crate::score::service::RunOutcome,
             &crate::score::service::RunOutcome,
         )>| {
--- a/lab/src/live/servers.rs
+++ b/lab/src/live/servers.rs
@@ -414,7 +414,11 @@
                 .filter(|c| c.established)
                 .for_each(|c| *cells.entry(c.cell).or_default() += 1);
             for (cell, n) in cells {
-                show(cell, n, h.model.share_within(now, self.message_targets[cell % self.message_targets.len()]));
+                show(
+                    cell,
+                    n,
+                    h.model.share_within(now, self.message_targets[cell % self.message_targets.len()]),
+                );
             }
         }
     }
--- a/lab/src/virt/engine.rs
+++ b/lab/src/virt/engine.rs
@@ -692,7 +692,10 @@
                 }
                 self.clients[client_id as usize].phase = Phase::Waiting;
                 self.end_connection(client_id, if moved { Outcome::Cancelled } else { Outcome::Reset });
-                self.schedule_return(client_id, if moved { RECONNECT_AFTER_MOVE_US } else { RECONNECT_AFTER_BREAK_US });
+                self.schedule_return(
+                    client_id,
+                    if moved { RECONNECT_AFTER_MOVE_US } else { RECONNECT_AFTER_BREAK_US },
+                );
             }
             SimEvent::Timer(node_id, epoch, token) => {
                 if self.nodes[node_id].up && self.nodes[node_id].epoch == epoch {
--- a/lab/src/virt/requests.rs
+++ b/lab/src/virt/requests.rs
@@ -281,7 +281,8 @@
             return;
         }
         let (node_id, server) = (client.node, client.server);
-        let part = LOAD_CHANGE_FACTOR.0 + (LOAD_CHANGE_FACTOR.1 - LOAD_CHANGE_FACTOR.0) * self.draw(client_id);
+        let part =
+            LOAD_CHANGE_FACTOR.0 + (LOAD_CHANGE_FACTOR.1 - LOAD_CHANGE_FACTOR.0) * self.draw(client_id);
         let load = self.plan.clients[client_id as usize].load * part;
         self.clients[client_id as usize].load = load;
         let now = self.now;
--- a/lab/tests/lab.rs
+++ b/lab/tests/lab.rs
@@ -497,8 +497,9 @@
     let mut day = ledger::read::ParsedLogs::default();
     lines.iter().for_each(|line| day.parse_line(line));
     let ledger = ledger::build_ledger(&day, &ledger::LedgerSettings::default());
-    let at =
-        |n: usize| ledger.samples[n].1.iter().map(|(name, worth)| (name.as_str(), *worth)).collect::<Vec<_>>();
+    let at = |n: usize| {
+        ledger.samples[n].1.iter().map(|(name, worth)| (name.as_str(), *worth)).collect::<Vec<_>>()
+    };
     // One connection with a load of 0.2, and its group with a load of three connections, on one core; later the load is 0.4
     // and then 1.2.
     assert_eq!(at(0), [("refused, is back", 15.0), ("stands over 3/4", 5.0)]);
@@ -513,7 +514,8 @@
 #[test]
 fn three_hundred_balancers_keep_their_service_during_a_rolling_restart_and_a_zone_failure() {
     for (name, least) in [("fleet-mass-roll", 0.60), ("fleet-mass-zone", 0.75)] {
-        let outcome = run::run_simulated(name, &library::find(name).unwrap(), 3, &DeciderChoice::Own, None).unwrap();
+        let outcome =
+            run::run_simulated(name, &library::find(name).unwrap(), 3, &DeciderChoice::Own, None).unwrap();
         assert!(outcome.service >= least, "{name}: {}", outcome.service);
         assert!(outcome.breaks.is_empty(), "{name}: {:?}", outcome.breaks);
     }
@@ -527,7 +529,9 @@
         let outcomes: Vec<RunOutcome> = std::thread::scope(|scope| {
             let start = |seed| {
                 let scenario = &scenario;
-                scope.spawn(move || run::run_simulated(name, scenario, seed, &DeciderChoice::Own, None).unwrap())
+                scope.spawn(move || {
+                    run::run_simulated(name, scenario, seed, &DeciderChoice::Own, None).unwrap()
+                })
             };
             let threads: Vec<_> = (1..=4).map(start).collect();
             threads.into_iter().map(|thread| thread.join().unwrap()).collect()
