--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -15,9 +15,9 @@
 fn count_further_attempts(node: &mut Node, now: Micros, call: &str, outcome: Outcome) -> usize {
     let mut out = node.demand(now, call, 0, None);
     let mut n = 0;
-    while let Some(host) = sent(&out) {
+    while let Some(host) = sent_host(&out) {
         out = node.finished(now, call, host, outcome);
-        n += usize::from(sent(&out).is_some());
+        n += usize::from(sent_host(&out).is_some());
     }
     assert!(refused(&out), "{out:?}");
     n
@@ -45,14 +45,14 @@
     );
     assert_eq!(count_further_attempts(&mut node, 6 * S + 1, "c", Outcome::Error), 1);
     let mut node = node_with_budget(0.0, 0.5);
-    node.stand(S, "a", None);
+    node.open_connection(S, "a", None);
     assert_eq!(
         count_further_attempts(&mut node, 6 * S, "b", Outcome::Error),
         0,
         "received exactly a span ago: no longer counts"
     );
     let mut node = node_with_budget(0.0, 0.5);
-    node.stand(S, "a", None);
+    node.open_connection(S, "a", None);
     assert_eq!(count_further_attempts(&mut node, 6 * S - 1, "b", Outcome::Error), 1);
 }
 
@@ -60,11 +60,11 @@
 fn refused_requests_count_towards_the_share_and_adopted_ones_do_not() {
     let mut node = node_with_budget(0.0, 0.25);
     for i in 0..2 {
-        node.tell(S, Event::Adopted(Demand::new(&format!("old{i}"), 0, 0), 1));
+        node.handle_event(S, Event::Adopted(Demand::new(&format!("old{i}"), 0, 0), 1));
     }
     for i in 0..2 {
         // No time is left: refused at once.
-        assert!(refused(&node.tell(S, Event::Demand(Demand::new(&format!("r{i}"), 0, 0)))));
+        assert!(refused(&node.handle_event(S, Event::Demand(Demand::new(&format!("r{i}"), 0, 0)))));
     }
     assert_eq!(count_further_attempts(&mut node, S, "a", Outcome::Error), 0, "three requests received");
     assert_eq!(count_further_attempts(&mut node, S, "b", Outcome::Error), 1, "four requests received");
@@ -73,12 +73,12 @@
 #[test]
 fn attempts_that_were_never_sent_are_returned_to_the_budget() {
     let mut node = node_with_budget(1.0, 0.0);
-    let first = sent(&node.demand(S, "a", 0, None)).expect("placed");
-    let second = sent(&node.finished(S + 1, "a", first, Outcome::Error)).expect("the one allowed");
-    let third = sent(&node.finished(S + 2, "a", second, Outcome::Moot)).expect("it was never sent");
+    let first = sent_host(&node.demand(S, "a", 0, None)).expect("placed");
+    let second = sent_host(&node.finished(S + 1, "a", first, Outcome::Error)).expect("the one allowed");
+    let third = sent_host(&node.finished(S + 2, "a", second, Outcome::Moot)).expect("it was never sent");
     assert!(refused(&node.finished(S + 3, "a", third, Outcome::Error)));
     // A first attempt is not charged to the budget, so its end as moot returns nothing.
-    let host = sent(&node.demand(2 * S, "b", 0, None)).expect("placed");
+    let host = sent_host(&node.demand(2 * S, "b", 0, None)).expect("placed");
     assert!(refused(&node.finished(2 * S, "b", host, Outcome::Moot)));
 }
 
@@ -86,7 +86,7 @@
 fn a_restarted_node_starts_with_no_requests_counted_and_without_a_budget_there_is_no_limit() {
     let mut node = node_with_budget(0.0, 0.5);
     for i in 0..10 {
-        node.stand(S, &format!("c{i}"), None);
+        node.open_connection(S, &format!("c{i}"), None);
     }
     let mut again = node_with_budget(0.0, 0.5);
     assert_eq!(
@@ -123,28 +123,28 @@
     let mut node = Node::new(s, 1..=20);
     let send_demand = |node: &mut Node, call: &str, tenant| {
         let demand = Demand { tenant: Some(tenant), ..Demand::new(call, 0, 2 * S) };
-        node.tell(S, Event::Demand(demand))
+        node.handle_event(S, Event::Demand(demand))
     };
     // One further attempt for this request, none for the next.
-    let host = sent(&send_demand(&mut node, "a4", 0)).expect("placed");
-    let host = sent(&node.finished(S, "a4", host, Outcome::Error)).expect("the one further attempt");
+    let host = sent_host(&send_demand(&mut node, "a4", 0)).expect("placed");
+    let host = sent_host(&node.finished(S, "a4", host, Outcome::Error)).expect("the one further attempt");
     assert!(refused(&node.finished(S, "a4", host, Outcome::Error)), "two attempts at most");
-    let host = sent(&send_demand(&mut node, "a5", 0)).expect("placed");
+    let host = sent_host(&send_demand(&mut node, "a5", 0)).expect("placed");
     assert!(refused(&node.finished(S, "a5", host, Outcome::Error)), "its budget is used up");
-    let host = sent(&send_demand(&mut node, "b1", 1)).expect("placed");
+    let host = sent_host(&send_demand(&mut node, "b1", 1)).expect("placed");
     assert!(
-        sent(&node.finished(S, "b1", host, Outcome::Error)).is_some(),
+        sent_host(&node.finished(S, "b1", host, Outcome::Error)).is_some(),
         "the budget of the other tenant is not"
     );
     // Change at run time: the second tenant is limited from now on, what the first has used stays used, and a third is
     // added.
     let one = Tenant { sends: Some(1), ..contract.clone() };
     let wide = Tenant { budget: Some(RetryBudget { free: 2.0, ..tight }), ..contract.clone() };
-    assert!(node.tell(S, Event::Tenants(vec![wide, one, contract])).is_empty());
-    let host = sent(&send_demand(&mut node, "b2", 1)).expect("placed");
+    assert!(node.handle_event(S, Event::Tenants(vec![wide, one, contract])).is_empty());
+    let host = sent_host(&send_demand(&mut node, "b2", 1)).expect("placed");
     assert!(refused(&node.finished(S, "b2", host, Outcome::Error)), "one attempt");
-    let host = sent(&send_demand(&mut node, "a6", 0)).expect("placed");
-    let host = sent(&node.finished(S, "a6", host, Outcome::Error)).expect("one more than it has used");
+    let host = sent_host(&send_demand(&mut node, "a6", 0)).expect("placed");
+    let host = sent_host(&node.finished(S, "a6", host, Outcome::Error)).expect("one more than it has used");
     assert!(refused(&node.finished(S, "a6", host, Outcome::Error)));
-    assert!(sent(&send_demand(&mut node, "c1", 2)).is_some());
+    assert!(sent_host(&send_demand(&mut node, "c1", 2)).is_some());
 }
--- a/tests/doubt.rs
+++ b/tests/doubt.rs
@@ -20,21 +20,21 @@
 
 fn back(node: &mut Node, now: Micros, call: &str) -> Vec<Action> {
     let key = Some("k".into());
-    node.tell(now, Event::Demand(Demand { key, repeat: true, ..Demand::new(call, 0, 2 * S) }))
+    node.handle_event(now, Event::Demand(Demand { key, repeat: true, ..Demand::new(call, 0, 2 * S) }))
 }
 
 fn pong(node: &mut Node, now: Micros, host: HostId, outcome: Outcome, load: Option<f64>) -> Vec<Action> {
-    node.tell(now, Event::Probed { host, outcome, load })
+    node.handle_event(now, Event::Probed { host, outcome, load })
 }
 
 #[test]
 fn in_calm_times_nothing_is_probed_and_without_leave_never() {
     let mut node = Node::new(probing(), 1..=5);
     for i in 0..50 {
-        assert!(sent(&node.demand(S + i * MS, &format!("a{i}"), 0, None)).is_some());
+        assert!(sent_host(&node.demand(S + i * MS, &format!("a{i}"), 0, None)).is_some());
     }
     let mut node = Node::new(settings(), 1..=5);
-    assert!(sent(&back(&mut node, S, "b")).is_some());
+    assert!(sent_host(&back(&mut node, S, "b")).is_some());
 }
 
 #[test]
@@ -42,8 +42,8 @@
     let mut node = Node::new(probing(), 1..=5);
     let out = back(&mut node, S, "a");
     let host = probed(&out).expect("probed first");
-    assert_eq!(sent(&out), None);
-    assert_eq!(sent(&pong(&mut node, S + MS, host, Outcome::Ok, Some(0.3))), Some(host));
+    assert_eq!(sent_host(&out), None);
+    assert_eq!(sent_host(&pong(&mut node, S + MS, host, Outcome::Ok, Some(0.3))), Some(host));
 }
 
 #[test]
@@ -53,10 +53,10 @@
     let host = probed(&out).expect("probed first");
     let Some(Action::Timer { at, token }) = out.last().cloned() else { panic!("{out:?}") };
     assert!(at < S + 100 * MS, "well inside the aim");
-    let next = probed(&node.tell(at, Event::Timer { token })).expect("the next successor");
+    let next = probed(&node.handle_event(at, Event::Timer { token })).expect("the next successor");
     assert_ne!(next, host);
     assert!(pong(&mut node, at + MS, host, Outcome::Ok, None).is_empty());
-    assert_eq!(sent(&pong(&mut node, at + MS, next, Outcome::Ok, None)), Some(next));
+    assert_eq!(sent_host(&pong(&mut node, at + MS, next, Outcome::Ok, None)), Some(next));
 }
 
 #[test]
@@ -65,14 +65,14 @@
     let first = probed(&back(&mut node, S, "a")).expect("probed");
     let second = probed(&pong(&mut node, S + MS, first, Outcome::Ok, Some(0.7))).expect("looks on");
     let third = probed(&pong(&mut node, S + 2 * MS, second, Outcome::Ok, Some(1.5))).expect("and on");
-    assert_eq!(sent(&pong(&mut node, S + 3 * MS, third, Outcome::Ok, Some(0.7))), Some(first));
+    assert_eq!(sent_host(&pong(&mut node, S + 3 * MS, third, Outcome::Ok, Some(0.7))), Some(first));
 }
 
 #[test]
 fn a_held_request_that_its_client_left_is_dropped() {
     let mut node = Node::new(probing(), 1..=5);
     let host = probed(&back(&mut node, S, "a")).expect("probed");
-    node.tell(S, Event::Vanished { call: "a".into() });
+    node.handle_event(S, Event::Vanished { call: "a".into() });
     assert!(pong(&mut node, S + MS, host, Outcome::Ok, None).is_empty());
 }
 
@@ -84,10 +84,10 @@
     let mut out = back(&mut node, now, "a");
     while let Some(Action::Timer { at, token }) = out.last().cloned() {
         now = at;
-        out = node.tell(now, Event::Timer { token });
+        out = node.handle_event(now, Event::Timer { token });
     }
     assert!(now <= S + 300 * MS, "{now}");
-    assert!(sent(&out).is_some() || refused(&out), "{out:?}");
+    assert!(sent_host(&out).is_some() || refused(&out), "{out:?}");
     let advice = |limits: Limits| {
         let mut node = Node::new(Settings { limits, ..probing() }, []);
         match &node.demand(0, "b", 0, None)[..] {
@@ -105,14 +105,14 @@
         [(Outcome::Ok, 0.2, false), (Outcome::Ok, 0.9, true), (Outcome::Timeout, 0.0, true)]
     {
         let mut node = Node::new(probing(), 1..=5);
-        let hosts: Vec<HostId> = (0..30).map(|i| node.stand(S, &format!("a{i}"), None)).collect();
+        let hosts: Vec<HostId> = (0..30).map(|i| node.open_connection(S, &format!("a{i}"), None)).collect();
         let home = hosts[0];
         let late = Event::DelayNote { host: home, delay: 400 * MS };
-        let out = node.tell(5 * S, late.clone());
+        let out = node.handle_event(5 * S, late.clone());
         assert_eq!(probed(&out), Some(home));
         let out = pong(&mut node, 5 * S + MS, home, answer, Some(load));
         assert_eq!(out.iter().any(|a| matches!(a, Action::Move { .. })), moved, "{answer:?} {load}");
-        let out = node.tell(6 * S, late);
+        let out = node.handle_event(6 * S, late);
         assert!(
             moved || out.iter().any(|a| matches!(a, Action::Move { .. })),
             "a second later it is no pause"
@@ -123,7 +123,7 @@
 #[test]
 fn foreign_hosts_that_a_list_adds_are_probed_first_and_left_alone_after_one_error() {
     let mut node = Node::new(probing(), 1..=5);
-    node.list(S, ListKind::Changes, (6..=10).map(Entry::ready).collect());
+    node.update_members(S, ListKind::Changes, (6..=10).map(Entry::ready).collect());
     let mut foreign = 0;
     for i in 0..60 {
         let now = 2 * S + i * 10 * MS;
@@ -133,7 +133,7 @@
             let answer = if host > 5 { Outcome::Error } else { Outcome::Ok };
             out = pong(&mut node, now, host, answer, None);
         }
-        assert!(sent(&out).is_some_and(|host| host <= 5), "{out:?}");
+        assert!(sent_host(&out).is_some_and(|host| host <= 5), "{out:?}");
     }
     assert_eq!(foreign, 5, "each once, in sixteen seconds");
 }
@@ -145,13 +145,13 @@
         (s.zones, s.zone, s.cross_zone_price) = (3, Some(1), price);
         let mut node = Node::new(s, []);
         let hosts = (0..12).map(|h| Entry { zone: Some(h as usize % 3), ..Entry::ready(h) }).collect();
-        node.list(0, ListKind::Full, hosts);
+        node.update_members(0, ListKind::Full, hosts);
         node
     };
     let share = |node: &mut Node| {
         let own = (0..60).filter(|i| {
-            let host = sent(&node.demand(S, &format!("a{i}"), 0, None)).expect("placed");
-            node.end(S, &format!("a{i}"), host, Outcome::Ok, true);
+            let host = sent_host(&node.demand(S, &format!("a{i}"), 0, None)).expect("placed");
+            node.report_finished(S, &format!("a{i}"), host, Outcome::Ok, true);
             host % 3 == 1
         });
         own.count()
@@ -160,11 +160,11 @@
     assert!(share(&mut zones(0.02)) <= 35, "cheap crossings: one home for a group");
     let mut node = zones(0.12);
     for i in 0..3 {
-        let host = sent(&node.demand(S, &format!("b{i}"), 0, Some("g"))).expect("placed");
+        let host = sent_host(&node.demand(S, &format!("b{i}"), 0, Some("g"))).expect("placed");
         assert_eq!(host % 3, 1);
-        let next = sent(&node.finished(S, &format!("b{i}"), host, Outcome::ConnectFailed));
+        let next = sent_host(&node.finished(S, &format!("b{i}"), host, Outcome::ConnectFailed));
         assert!(next.is_some(), "the walk goes on, over the zone's end at last");
-        node.end(S, &format!("b{i}"), next.unwrap_or(0), Outcome::Ok, true);
+        node.report_finished(S, &format!("b{i}"), next.unwrap_or(0), Outcome::Ok, true);
     }
 }
 
@@ -174,9 +174,12 @@
     let out = back(&mut node, S, "a");
     let home = probed(&out).expect("probed first");
     let Some(Action::Timer { at, token }) = out.last().cloned() else { panic!("{out:?}") };
-    assert_eq!(sent(&pong(&mut node, S + MS, home, Outcome::Ok, Some(0.1))), Some(home));
+    assert_eq!(sent_host(&pong(&mut node, S + MS, home, Outcome::Ok, Some(0.1))), Some(home));
     // A late message asks again before the first timer comes.
-    assert_eq!(probed(&node.tell(at - MS, Event::DelayNote { host: home, delay: 400 * MS })), Some(home));
-    node.tell(at, Event::Timer { token });
-    assert_eq!(sent(&back(&mut node, at, "b")), Some(home), "it is not held to have failed");
+    assert_eq!(
+        probed(&node.handle_event(at - MS, Event::DelayNote { host: home, delay: 400 * MS })),
+        Some(home)
+    );
+    node.handle_event(at, Event::Timer { token });
+    assert_eq!(sent_host(&back(&mut node, at, "b")), Some(home), "it is not held to have failed");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,7 +10,7 @@
     let mut node = Node::new(settings(), 1..=10);
     let mut out = node.demand(0, "a", 0, None);
     let mut tried = Vec::new();
-    while let Some(host) = sent(&out) {
+    while let Some(host) = sent_host(&out) {
         assert!(!tried.contains(&host), "distinct successors");
         tried.push(host);
         out = node.finished(MS, "a", host, Outcome::ConnectFailed);
@@ -23,7 +23,7 @@
 #[test]
 fn nothing_is_sent_after_the_deadline() {
     let mut node = Node::new(settings(), 1..=10);
-    let host = sent(&node.demand(0, "a", 0, None)).expect("placed");
+    let host = sent_host(&node.demand(0, "a", 0, None)).expect("placed");
     assert!(refused(&node.finished(2 * S, "a", host, Outcome::Timeout)));
 }
 
@@ -32,19 +32,19 @@
     let mut node = Node::new(settings(), []);
     assert!(refused(&node.demand(0, "a", 0, None)));
     let mut node = Node::new(settings(), [1]);
-    node.list(1, ListKind::Changes, vec![Entry { state: HostState::Gone, ..Entry::ready(1) }]);
+    node.update_members(1, ListKind::Changes, vec![Entry { state: HostState::Gone, ..Entry::ready(1) }]);
     assert!(refused(&node.demand(2, "b", 0, None)));
-    node.list(3, ListKind::Full, vec![Entry::ready(2)]);
-    assert_eq!(sent(&node.demand(4, "c", 0, None)), Some(2));
-    node.list(5, ListKind::Full, vec![]);
+    node.update_members(3, ListKind::Full, vec![Entry::ready(2)]);
+    assert_eq!(sent_host(&node.demand(4, "c", 0, None)), Some(2));
+    node.update_members(5, ListKind::Full, vec![]);
     assert!(refused(&node.demand(6, "d", 0, None)), "a full list drops what it lacks");
 }
 
 #[test]
 fn a_single_shot_that_may_have_run_is_failed_not_repeated() {
     let mut node = Node::new(settings(), 1..=5);
-    let host = sent(&node.demand(0, "a", 2, None)).expect("placed");
-    let next = sent(&node.finished(MS, "a", host, Outcome::Full)).expect("it never ran");
+    let host = sent_host(&node.demand(0, "a", 2, None)).expect("placed");
+    let next = sent_host(&node.finished(MS, "a", host, Outcome::Full)).expect("it never ran");
     assert!(failed(&node.finished(MS, "a", next, Outcome::Timeout)));
 }
 
@@ -53,58 +53,62 @@
     let cell = |host: HostId| Entry { cell: host % 2, ..Entry::ready(host) };
     for i in 0..20 {
         let mut node = Node::new(settings(), []);
-        node.list(0, ListKind::Full, (1..=6).map(cell).collect());
+        node.update_members(0, ListKind::Full, (1..=6).map(cell).collect());
         let call = format!("c{i}");
-        let host = sent(&node.demand(0, &call, 1, None)).expect("placed");
-        let next = sent(&node.finished(MS, &call, host, Outcome::Error)).expect("same cell has others");
+        let host = sent_host(&node.demand(0, &call, 1, None)).expect("placed");
+        let next = sent_host(&node.finished(MS, &call, host, Outcome::Error)).expect("same cell has others");
         assert_eq!(next % 2, host % 2);
-        let last = sent(&node.finished(MS, &call, next, Outcome::Error)).expect("a third");
+        let last = sent_host(&node.finished(MS, &call, next, Outcome::Error)).expect("a third");
         assert_eq!(last % 2, host % 2);
         assert!(failed(&node.finished(MS, &call, last, Outcome::Error)));
     }
     let mut late = settings();
     late.classes[1].dedup_window = MS;
     let mut node = Node::new(late, 1..=6);
-    let host = sent(&node.demand(0, "a", 1, None)).expect("placed");
+    let host = sent_host(&node.demand(0, "a", 1, None)).expect("placed");
     assert!(failed(&node.finished(5 * MS, "a", host, Outcome::Error)), "past the window");
 }
 
 #[test]
 fn an_unknown_class_gets_the_most_careful_treatment() {
     let mut node = Node::new(settings(), 1..=5);
-    let host = sent(&node.demand(0, "a", 77, None)).expect("placed");
+    let host = sent_host(&node.demand(0, "a", 77, None)).expect("placed");
     assert!(failed(&node.finished(MS, "a", host, Outcome::Error)));
 }
 
 #[test]
 fn a_draining_host_gets_nothing_new_but_mid_flow_packets_within_the_grace() {
     let mut node = Node::new(settings(), [1]);
-    node.list(S, ListKind::Changes, vec![Entry { state: HostState::Draining, ..Entry::ready(1) }]);
+    node.update_members(S, ListKind::Changes, vec![Entry { state: HostState::Draining, ..Entry::ready(1) }]);
     assert!(refused(&node.demand(S, "a", 0, None)));
     let mid = |call: &str| Event::Demand(Demand { mid_flow: true, ..Demand::new(call, 0, S) });
     // The same news again must not renew the grace.
-    node.list(S + S / 2, ListKind::Changes, vec![Entry { state: HostState::Draining, ..Entry::ready(1) }]);
-    assert_eq!(sent(&node.tell(2 * S - 1, mid("b"))), Some(1));
-    assert!(refused(&node.tell(2 * S, mid("c"))));
+    node.update_members(
+        S + S / 2,
+        ListKind::Changes,
+        vec![Entry { state: HostState::Draining, ..Entry::ready(1) }],
+    );
+    assert_eq!(sent_host(&node.handle_event(2 * S - 1, mid("b"))), Some(1));
+    assert!(refused(&node.handle_event(2 * S, mid("c"))));
 }
 
 #[test]
 fn a_cold_host_gets_this_nodes_part_of_its_budget_and_refused_sends_count() {
     let mut node = Node::new(settings(), 1..=4);
     for i in 0..40 {
-        node.stand(i * S / 2, &format!("old{i}"), None);
+        node.open_connection(i * S / 2, &format!("old{i}"), None);
     }
     let start = 21 * S;
-    node.list(start, ListKind::Changes, vec![Entry { ready_at: start, ..Entry::ready(5) }]);
+    node.update_members(start, ListKind::Changes, vec![Entry { ready_at: start, ..Entry::ready(5) }]);
     let mut at_cold = 0;
     for i in 0..300 {
         let (now, call) = (start + i * 10 * MS, format!("new{i}"));
         let mut out = node.demand(now, &call, 0, None);
-        while let Some(host) = sent(&out) {
+        while let Some(host) = sent_host(&out) {
             at_cold += usize::from(host == 5);
             out = match host == 5 {
                 true => node.finished(now, &call, host, Outcome::Full),
-                false => node.end(now, &call, host, Outcome::Ok, true),
+                false => node.report_finished(now, &call, host, Outcome::Ok, true),
             };
         }
     }
@@ -117,21 +121,21 @@
 fn events_for_what_is_over_or_unknown_are_ignored() {
     let mut node = Node::new(settings(), 1..=3);
     assert!(node.finished(0, "nobody", 9, Outcome::Reset).is_empty());
-    assert!(node.tell(0, Event::Vanished { call: "nobody".into() }).is_empty());
-    assert!(node.tell(0, Event::LoadNote { call: "nobody".into(), load: f64::NAN }).is_empty());
-    assert!(node.tell(0, Event::DelayNote { host: 9, delay: S }).is_empty());
-    assert!(node.tell(0, Event::Timer { token: 12345 }).is_empty());
+    assert!(node.handle_event(0, Event::Vanished { call: "nobody".into() }).is_empty());
+    assert!(node.handle_event(0, Event::LoadNote { call: "nobody".into(), load: f64::NAN }).is_empty());
+    assert!(node.handle_event(0, Event::DelayNote { host: 9, delay: S }).is_empty());
+    assert!(node.handle_event(0, Event::Timer { token: 12345 }).is_empty());
     node.opened(0, "nobody", 9);
-    node.tell(0, Event::Adopted(Demand::new("a", 0, 0), 42));
-    node.list(1, ListKind::Full, vec![]);
-    assert!(node.end(2, "a", 42, Outcome::Reset, true).is_empty());
+    node.handle_event(0, Event::Adopted(Demand::new("a", 0, 0), 42));
+    node.update_members(1, ListKind::Full, vec![]);
+    assert!(node.report_finished(2, "a", 42, Outcome::Reset, true).is_empty());
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing() {
     let mut node = Node::new(settings(), 1..=3);
-    let host = sent(&node.demand(0, "a", 0, None)).expect("placed");
-    assert!(node.tell(1, Event::Vanished { call: "a".into() }).is_empty());
+    let host = sent_host(&node.demand(0, "a", 0, None)).expect("placed");
+    assert!(node.handle_event(1, Event::Vanished { call: "a".into() }).is_empty());
     assert!(node.finished(2, "a", host, Outcome::Cancelled).is_empty());
 }
 
@@ -140,9 +144,12 @@
     let mut odd = Settings { peers_total: 0, weights_are_sizes: true, ..Settings::default() };
     odd.tenants = vec![Tenant::default()];
     let mut node = Node::new(odd.clone(), []);
-    node.list(0, ListKind::Full, vec![Entry { weight: 0.0, ..Entry::ready(1) }]);
+    node.update_members(0, ListKind::Full, vec![Entry { weight: 0.0, ..Entry::ready(1) }]);
     let tenant = Some(7);
-    assert_eq!(sent(&node.tell(0, Event::Demand(Demand { tenant, ..Demand::new("a", 0, S) }))), Some(1));
+    assert_eq!(
+        sent_host(&node.handle_event(0, Event::Demand(Demand { tenant, ..Demand::new("a", 0, S) }))),
+        Some(1)
+    );
     odd.limits.max_attempts = 0;
     assert!(refused(&Node::new(odd.clone(), 1..=3).demand(0, "a", 0, None)));
     odd.rules.cold_share = f64::NAN;
@@ -155,18 +162,18 @@
     let mut asked = settings();
     (asked.discovery, asked.peers_total) = (Discovery::Asked, 1);
     let mut node = Node(PlacementPolicy::new(asked, 3).expect("settings"));
-    assert!(node.list(0, ListKind::Cached, vec![Entry::ready(1)]).contains(&Action::Watch));
+    assert!(node.update_members(0, ListKind::Cached, vec![Entry::ready(1)]).contains(&Action::Watch));
     let mut waits = Vec::new();
     for _ in 0..6 {
-        let out = node.list(S, ListKind::Failed, vec![]);
+        let out = node.update_members(S, ListKind::Failed, vec![]);
         let [Action::Timer { at, token }] = out[..] else { panic!("{out:?}") };
         waits.push(at - S);
-        assert_eq!(node.tell(at, Event::Timer { token }), vec![Action::Watch]);
+        assert_eq!(node.handle_event(at, Event::Timer { token }), vec![Action::Watch]);
     }
     assert!(waits[0] < waits[2] && waits.iter().all(|&w| w > 0 && w < 10 * S), "{waits:?}");
-    assert_eq!(sent(&node.demand(S, "a", 0, None)), Some(1), "the old list stands");
-    node.list(S, ListKind::Full, vec![Entry::ready(2)]);
-    assert!(node.tell(2 * S, Event::Timer { token: 1 }).is_empty(), "subscribed: no more calls");
+    assert_eq!(sent_host(&node.demand(S, "a", 0, None)), Some(1), "the old list stands");
+    node.update_members(S, ListKind::Full, vec![Entry::ready(2)]);
+    assert!(node.handle_event(2 * S, Event::Timer { token: 1 }).is_empty(), "subscribed: no more calls");
 }
 
 /// Discovery as one service that works through calls in turn, abandoned ones too, and a fleet of balancers that ask it.
@@ -214,10 +221,10 @@
             let mut node =
                 Node(PlacementPolicy::new(settings.clone(), u64::from(n) * 7919).expect("settings"));
             let (list, start) = (vec![Entry::ready(1)], lost_at.unwrap_or(0));
-            let mut out = node.list(0, ListKind::Cached, list);
+            let mut out = node.update_members(0, ListKind::Cached, list);
             if lost_at.is_some() {
-                node.list(0, ListKind::Changes, vec![]);
-                out = node.list(start, ListKind::Failed, vec![]);
+                node.update_members(0, ListKind::Changes, vec![]);
+                out = node.update_members(start, ListKind::Failed, vec![]);
             }
             note(&mut due, n, start, out);
             fleet.push((node, start));
@@ -227,14 +234,14 @@
             let (node, asked) = &mut fleet[n as usize];
             seen.longest_unasked = seen.longest_unasked.max(now - *asked);
             (*asked, seen.calls) = (now, seen.calls + 1);
-            assert_eq!(node.tell(now, Event::Timer { token: 1 }), vec![Action::Watch]);
+            assert_eq!(node.handle_event(now, Event::Timer { token: 1 }), vec![Action::Watch]);
             match self.call(now) {
                 Ok(at) => {
                     seen.last_answer = seen.last_answer.max(at);
-                    node.list(at, ListKind::Changes, vec![]);
+                    node.update_members(at, ListKind::Changes, vec![]);
                 }
                 Err(at) => {
-                    let out = node.list(at, ListKind::Failed, vec![]);
+                    let out = node.update_members(at, ListKind::Failed, vec![]);
                     note(&mut due, n, at, out);
                 }
             }
@@ -286,26 +293,26 @@
 fn a_restart_under_the_same_id_is_cold_again_and_forgets_the_old_process() {
     let mut node = Node::new(settings(), 1..=4);
     for i in 0..12 {
-        node.stand(i * S, &format!("old{i}"), Some(&format!("g{i}")));
+        node.open_connection(i * S, &format!("old{i}"), Some(&format!("g{i}")));
     }
     // Three trials fail, half a second, one and two apart: passed over for two seconds more.
-    let home = sent(&node.client(21 * S, "f", "k", "mine")).expect("placed");
+    let home = sent_host(&node.demand_with_key(21 * S, "f", "k", "mine")).expect("placed");
     for at in [21_000, 21_600, 22_700] {
         if at > 21_000 {
-            assert_eq!(sent(&node.client(at * MS, "f", "k", "mine")), Some(home), "one trial");
+            assert_eq!(sent_host(&node.demand_with_key(at * MS, "f", "k", "mine")), Some(home), "one trial");
         }
-        let next = sent(&node.finished(at * MS, "f", home, Outcome::Full)).expect("the next successor");
-        node.end(at * MS, "f", next, Outcome::Ok, true);
+        let next = sent_host(&node.finished(at * MS, "f", home, Outcome::Full)).expect("the next successor");
+        node.report_finished(at * MS, "f", next, Outcome::Ok, true);
     }
     let restart = 23 * S;
-    assert_ne!(sent(&node.client(restart, "a", "k", "mine")), Some(home), "ejected for long");
-    node.list(restart, ListKind::Changes, vec![Entry { ready_at: restart, ..Entry::ready(home) }]);
+    assert_ne!(sent_host(&node.demand_with_key(restart, "a", "k", "mine")), Some(home), "ejected for long");
+    node.update_members(restart, ListKind::Changes, vec![Entry { ready_at: restart, ..Entry::ready(home) }]);
     let mut at_home = 0;
     for i in 0..80 {
         let (now, call) = (restart + i * 100 * MS, format!("b{i}"));
-        let host = sent(&node.client(now, &call, "k", "mine")).expect("placed");
+        let host = sent_host(&node.demand_with_key(now, &call, "k", "mine")).expect("placed");
         at_home += usize::from(host == home);
-        node.end(now, &call, host, Outcome::Ok, true);
+        node.report_finished(now, &call, host, Outcome::Ok, true);
     }
     assert!((1..=5).contains(&at_home), "no longer ejected, and cold: {at_home} of 80 in eight seconds");
 }
@@ -319,7 +326,7 @@
     let tell = |policy: &mut PlacementPolicy, now, event| {
         let mut out = Vec::new();
         policy.handle(now, event, &mut out);
-        sent(&out)
+        sent_host(&out)
     };
     let (start, span) = (40 * S, s.rules.overload_failure_time);
     let entries = |restarted: bool| -> Vec<Entry> {
@@ -397,11 +404,11 @@
     let mut at_cold: Vec<(HostId, Micros)> = Vec::new();
     for n in 0..nodes {
         let mut node = Node(PlacementPolicy::new(s.clone(), seed * 1_000 + u64::from(n)).expect("settings"));
-        node.list(0, ListKind::Cached, entries(false));
+        node.update_members(0, ListKind::Cached, entries(false));
         let own = format!("own{n}");
-        node.tell(0, Event::Adopted(Demand::new(&own, 0, 0), 9 + n % 12));
-        node.tell(0, Event::LoadNote { call: own.as_str().into(), load });
-        node.list(start, ListKind::Changes, entries(true));
+        node.handle_event(0, Event::Adopted(Demand::new(&own, 0, 0), 9 + n % 12));
+        node.handle_event(0, Event::LoadNote { call: own.as_str().into(), load });
+        node.update_members(start, ListKind::Changes, entries(true));
         // From one in half a second to one in four, the first of all within the first second.
         let step = 500 * MS * u64::from(1 + n % 8);
         let first = u64::from(n * 37 % 100) * 10 * MS;
@@ -409,9 +416,9 @@
             let call = format!("{seed}-{n}-{now}");
             let (key, group) = (Some(call.as_str().into()), Some(group(n).into()));
             let demand = Demand { key, group, returned: true, ..Demand::new(&call, 0, 2 * S) };
-            if let Some(host) = sent(&node.tell(now, Event::Demand(demand))) {
+            if let Some(host) = sent_host(&node.handle_event(now, Event::Demand(demand))) {
                 at_cold.extend(cold.contains(&host).then_some((host, now)));
-                node.end(now, &call, host, Outcome::Ok, true);
+                node.report_finished(now, &call, host, Outcome::Ok, true);
             }
         }
     }
@@ -467,28 +474,32 @@
         s.rules.drain_grace = grace;
         let mut node = Node::new(s, [1, 2]);
         let news = |state| vec![Entry { state, ..Entry::ready(1) }];
-        node.list(S, ListKind::Changes, news(HostState::Draining));
+        node.update_members(S, ListKind::Changes, news(HostState::Draining));
         let mid = |call: &str| {
             Event::Demand(Demand { mid_flow: true, group: Some("g".into()), ..Demand::new(call, 0, S) })
         };
         for i in 0..20 {
             let call = format!("m{i}");
-            assert_eq!(sent(&node.tell(S + grace, mid(&call))), Some(2), "mid-flow, at the end of the grace");
-            node.end(S + grace, &call, 2, Outcome::Ok, true);
-            assert_eq!(sent(&node.demand(S, &format!("n{i}"), 0, None)), Some(2));
-            node.end(S, &format!("n{i}"), 2, Outcome::Ok, true);
+            assert_eq!(
+                sent_host(&node.handle_event(S + grace, mid(&call))),
+                Some(2),
+                "mid-flow, at the end of the grace"
+            );
+            node.report_finished(S + grace, &call, 2, Outcome::Ok, true);
+            assert_eq!(sent_host(&node.demand(S, &format!("n{i}"), 0, None)), Some(2));
+            node.report_finished(S, &format!("n{i}"), 2, Outcome::Ok, true);
         }
         // The full list lacks it: gone at once, for mid-flow packets too.
-        node.list(S, ListKind::Full, vec![Entry::ready(2)]);
-        assert_eq!(sent(&node.tell(S, mid("late"))), Some(2));
+        node.update_members(S, ListKind::Full, vec![Entry::ready(2)]);
+        assert_eq!(sent_host(&node.handle_event(S, mid("late"))), Some(2));
     }
 }
 
 #[test]
 fn an_adopted_connection_counts_and_ends_without_an_answer() {
     let mut node = Node::new(settings(), 1..=2);
-    assert!(node.tell(0, Event::Adopted(Demand::new("a", 0, 0), 1)).is_empty());
-    assert!(node.end(S, "a", 1, Outcome::Reset, true).is_empty());
+    assert!(node.handle_event(0, Event::Adopted(Demand::new("a", 0, 0), 1)).is_empty());
+    assert!(node.report_finished(S, "a", 1, Outcome::Reset, true).is_empty());
     assert!(node.finished(S, "a", 1, Outcome::Ok).is_empty());
 }
 
@@ -497,8 +508,13 @@
     let mut huge = settings();
     (huge.rules.drain_grace, huge.classes[1].dedup_window) = (Micros::MAX, Micros::MAX);
     let mut node = Node::new(huge, 1..=2);
-    let out = node.tell(S, Event::Demand(Demand { mid_flow: true, ..Demand::new("a", 1, Micros::MAX) }));
-    let host = sent(&out).expect("placed");
-    node.list(S, ListKind::Changes, vec![Entry { state: HostState::Draining, ..Entry::ready(3 - host) }]);
-    assert_eq!(sent(&node.finished(2 * S, "a", host, Outcome::Error)), Some(3 - host));
+    let out =
+        node.handle_event(S, Event::Demand(Demand { mid_flow: true, ..Demand::new("a", 1, Micros::MAX) }));
+    let host = sent_host(&out).expect("placed");
+    node.update_members(
+        S,
+        ListKind::Changes,
+        vec![Entry { state: HostState::Draining, ..Entry::ready(3 - host) }],
+    );
+    assert_eq!(sent_host(&node.finished(2 * S, "a", host, Outcome::Error)), Some(3 - host));
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -13,8 +13,8 @@
 fn visit(node: &mut Node, now: Micros, key: &str, group: &str, returned: bool) -> HostId {
     let demand =
         Demand { key: Some(key.into()), group: Some(group.into()), returned, ..Demand::new("v", 0, 2 * S) };
-    let host = sent(&node.tell(now, Event::Demand(demand))).expect("placed");
-    node.end(now, "v", host, Outcome::Ok, true);
+    let host = sent_host(&node.handle_event(now, Event::Demand(demand))).expect("placed");
+    node.report_finished(now, "v", host, Outcome::Ok, true);
     host
 }
 
@@ -30,7 +30,7 @@
     assert!(groups.len() >= 2);
     let mut node = fleet();
     for (i, group) in groups.iter().take(2).enumerate() {
-        assert_eq!(sent(&node.client(0, &format!("c{i}"), "k", group)), Some(home));
+        assert_eq!(sent_host(&node.demand_with_key(0, &format!("c{i}"), "k", group)), Some(home));
     }
 }
 
@@ -76,7 +76,7 @@
     let mut at_small = 0;
     for n in 0..400 {
         let mut node = Node(PlacementPolicy::new(s.clone(), n).expect("settings"));
-        node.list(0, ListKind::Cached, list.clone());
+        node.update_members(0, ListKind::Cached, list.clone());
         let host = visit(&mut node, 0, &format!("k{n}"), &format!("g{n}"), false);
         at_small += usize::from(small.contains(&host));
     }
@@ -99,7 +99,7 @@
         let mut count: BTreeMap<HostId, usize> = BTreeMap::new();
         for n in 0..40 {
             let mut node = Node(PlacementPolicy::new(s.clone(), n).expect("settings"));
-            node.list(0, ListKind::Cached, list());
+            node.update_members(0, ListKind::Cached, list());
             let host = visit(&mut node, 0, &format!("k{n}"), &format!("g{group}"), false);
             *count.entry(host).or_default() += 1;
         }
@@ -125,10 +125,10 @@
             let mut node = Node(PlacementPolicy::new(s.clone(), n).expect("settings"));
             let at = |h: HostId| if h <= cold { 60 * S } else { 0 };
             let list = (1..=10).map(|h| Entry { ready_at: at(h), weight: 2.0, ..Entry::ready(h) }).collect();
-            node.list(60 * S, ListKind::Cached, list);
-            node.tell(60 * S, Event::Adopted(Demand::new("own", 0, 0), 10));
-            node.tell(60 * S, Event::LoadNote { call: "own".into(), load });
-            for action in node.client(60 * S + MS, "c", &format!("k{n}"), &format!("g{n}")) {
+            node.update_members(60 * S, ListKind::Cached, list);
+            node.handle_event(60 * S, Event::Adopted(Demand::new("own", 0, 0), 10));
+            node.handle_event(60 * S, Event::LoadNote { call: "own".into(), load });
+            for action in node.demand_with_key(60 * S + MS, "c", &format!("k{n}"), &format!("g{n}")) {
                 if let Action::Refuse { retry_after, .. } = action {
                     waits.push(retry_after.expect("when to come back"));
                 }
@@ -149,9 +149,9 @@
     let mut left = 0;
     for i in 0..50 {
         let mut node = fleet();
-        let host = sent(&node.client(0, "c", &format!("k{i}"), "g")).expect("placed");
+        let host = sent_host(&node.demand_with_key(0, "c", &format!("k{i}"), "g")).expect("placed");
         node.opened(0, "c", host);
-        left += node.tell(S, Event::DelayNote { host, delay: 3 * S }).len();
+        left += node.handle_event(S, Event::DelayNote { host, delay: 3 * S }).len();
     }
     // By the client's turn: a few stay and tell how the host is.
     assert!((30..50).contains(&left), "{left}");
@@ -162,15 +162,15 @@
 #[test]
 fn a_host_that_drops_a_standing_connection_is_passed_for_seconds_where_a_node_sees_little() {
     let after = |mut node: Node, wait: Micros| {
-        let home = sent(&node.client(0, "c", "k", "g")).expect("placed");
+        let home = sent_host(&node.demand_with_key(0, "c", "k", "g")).expect("placed");
         node.opened(0, "c", home);
-        node.end(S, "c", home, Outcome::Reset, true);
+        node.report_finished(S, "c", home, Outcome::Reset, true);
         visit(&mut node, S + wait, "other", "g", false) == home
     };
     assert!(!after(fleet(), 3 * S) && after(fleet(), 5 * S));
     let mut much = Node::new(settings(), 1..=6);
     for i in 0..30 {
-        much.stand(0, &format!("c{i}"), Some(&format!("g{i}")));
+        much.open_connection(0, &format!("c{i}"), Some(&format!("g{i}")));
     }
     assert!(after(much, 0), "where others stand there still, one may break by itself");
 }
@@ -185,18 +185,21 @@
     let mut refusals = 0;
     for i in 0..20 {
         let (now, call) = (i * 10 * MS, format!("c{i}"));
-        let Some(host) = sent(&node.client(now, &call, &format!("k{i}"), "g")) else {
+        let Some(host) = sent_host(&node.demand_with_key(now, &call, &format!("k{i}"), "g")) else {
             refusals += 1;
             continue;
         };
         node.opened(now, &call, host);
         used.insert(host);
         // Very late at each of them: full from now on, but for a few by their turn.
-        node.tell(now, Event::DelayNote { host, delay: 30 * S });
+        node.handle_event(now, Event::DelayNote { host, delay: 30 * S });
     }
     // Twenty of 120: up to three pieces, three hosts each.
     assert!(used.len() <= 9 && refusals >= 8, "{used:?}, {refusals}");
-    assert!(sent(&node.client(S, "other", "k", "elsewhere")).is_some(), "other groups have room");
+    assert!(
+        sent_host(&node.demand_with_key(S, "other", "k", "elsewhere")).is_some(),
+        "other groups have room"
+    );
 }
 
 #[test]
@@ -204,7 +207,7 @@
     let mut node = Node::new(settings(), 1..=2);
     for i in 0..60 {
         let (now, call) = (0, format!("c{i}"));
-        assert!(sent(&node.client(now, &call, "k", "one")).is_some(), "{i}");
+        assert!(sent_host(&node.demand_with_key(now, &call, "k", "one")).is_some(), "{i}");
     }
 }
 
@@ -212,9 +215,9 @@
 fn a_nearly_warm_host_takes_returning_clients_where_a_node_sees_enough_to_tell_a_wave() {
     let taken = |mut node: Node, hosts: HostId| {
         // Nine tenths of the time to be warm have passed, with steady traffic before.
-        node.list(2 * S, ListKind::Changes, vec![Entry { ready_at: 2 * S, ..Entry::ready(hosts) }]);
+        node.update_members(2 * S, ListKind::Changes, vec![Entry { ready_at: 2 * S, ..Entry::ready(hosts) }]);
         for i in 0..40 {
-            node.stand(16 * S + i * S / 10, &format!("c{i}"), Some(&format!("g{i}")));
+            node.open_connection(16 * S + i * S / 10, &format!("c{i}"), Some(&format!("g{i}")));
         }
         let back = (0..400).filter(|i| {
             let (key, group) = (format!("k{i}"), format!("back{i}"));
@@ -236,14 +239,14 @@
         (s.weights_are_sizes, s.message_delays_reported, s.peers_total) = (true, delays_told, 1);
         let mut node = Node(PlacementPolicy::new(s, 1).expect("settings"));
         let sized = |host, weight| Entry { weight, ..Entry::ready(host) };
-        node.list(0, ListKind::Cached, vec![sized(1, 1.0), sized(2, 8.0), sized(3, 8.0)]);
+        node.update_members(0, ListKind::Cached, vec![sized(1, 1.0), sized(2, 8.0), sized(3, 8.0)]);
         for i in 0..20 {
-            node.tell(0, Event::Adopted(Demand::new(&format!("c{i}"), 0, 0), 1));
+            node.handle_event(0, Event::Adopted(Demand::new(&format!("c{i}"), 0, 0), 1));
         }
         let mut moved = 0;
         for i in 0..20 {
             let load = Event::LoadNote { call: format!("c{i}").as_str().into(), load: 100e3 };
-            let out = node.tell((2 + i) * S, load);
+            let out = node.handle_event((2 + i) * S, load);
             moved += out.iter().filter(|a| matches!(a, Action::Move { .. })).count();
         }
         20 - moved
