--- a/tests/circle.rs
+++ b/tests/circle.rs
@@ -1,11 +1,11 @@
-//! Properties of the circle (thesis, 2.2.2): balance, monotonicity, and the same circle at every node.
+//! Properties of the consistent hash ring (thesis, 2.2.2): balance, monotonicity, and the same ring at every node.
 
 mod common;
 use common::*;
 use oakdeal::*;
 use std::collections::BTreeMap;
 
-/// Where each of many keys goes on an otherwise idle node.
+/// Returns the host of each of 4,000 keys on an otherwise idle node.
 fn placement(hosts: &[HostId]) -> Vec<HostId> {
     let mut node = Node::new(settings(), hosts.iter().copied());
     (0..4000)
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn arcs_sum_to_about_an_even_share() {
+fn arcs_of_each_host_sum_to_about_an_even_share() {
     let mut count: BTreeMap<HostId, usize> = BTreeMap::new();
     for host in placement(&(1..=10).collect::<Vec<_>>()) {
         *count.entry(host).or_default() += 1;
@@ -29,19 +29,19 @@
 }
 
 #[test]
-fn a_join_moves_keys_to_the_new_host_only_and_a_leave_moves_its_own_only() {
-    let few = placement(&(1..=9).collect::<Vec<_>>());
-    let more = placement(&(1..=10).collect::<Vec<_>>());
-    let moved: Vec<_> = few.iter().zip(&more).filter(|(a, b)| a != b).collect();
+fn a_host_that_joins_or_leaves_moves_only_its_own_keys() {
+    let with_nine = placement(&(1..=9).collect::<Vec<_>>());
+    let with_ten = placement(&(1..=10).collect::<Vec<_>>());
+    let moved: Vec<_> = with_nine.iter().zip(&with_ten).filter(|(a, b)| a != b).collect();
     assert!(moved.iter().all(|(_, &to)| to == 10));
     assert!((150..=700).contains(&moved.len()), "{}", moved.len());
 }
 
 #[test]
-fn every_node_builds_the_same_circle_whatever_the_order_of_news() {
-    let (mut a, mut b) = (Node::new(settings(), 1..=8), Node::new(settings(), [8, 3, 5]));
-    b.update_members(5, ListKind::Changes, [7, 1, 2, 4, 6].map(Entry::ready).to_vec());
-    b.0 = {
+fn every_node_builds_the_same_ring_whatever_the_order_of_updates() {
+    let (mut first, mut second) = (Node::new(settings(), 1..=8), Node::new(settings(), [8, 3, 5]));
+    second.update_members(5, ListKind::Changes, [7, 1, 2, 4, 6].map(Entry::ready).to_vec());
+    second.0 = {
         let mut other = PlacementPolicy::new(settings(), 99).expect("settings");
         let hosts = [8, 7, 6, 5, 4, 3, 2, 1].map(Entry::ready).to_vec();
         other.handle(0, Event::Members { kind: ListKind::Full, hosts }, &mut Vec::new());
@@ -49,20 +49,21 @@
     };
     for i in 0..20 {
         let (call, group) = (format!("c{i}"), format!("g{i}"));
-        let (x, y) = (a.demand(9, &call, 0, Some(&group)), b.demand(9, &call, 0, Some(&group)));
-        assert_eq!(x, y);
-        a.report_finished(9, &call, sent_host(&x).expect("placed"), Outcome::Ok, true);
-        b.report_finished(9, &call, sent_host(&y).expect("placed"), Outcome::Ok, true);
+        let (first_actions, second_actions) =
+            (first.demand(9, &call, 0, Some(&group)), second.demand(9, &call, 0, Some(&group)));
+        assert_eq!(first_actions, second_actions);
+        first.report_finished(9, &call, sent_host(&first_actions).expect("placed"), Outcome::Ok, true);
+        second.report_finished(9, &call, sent_host(&second_actions).expect("placed"), Outcome::Ok, true);
     }
 }
 
 #[test]
-fn the_group_key_leads_then_the_client_key_then_the_id() {
+fn the_placement_key_is_the_group_then_the_client_key_then_the_call_id() {
     let mut node = Node::new(settings(), 1..=10);
     let mut place = |call: &str, key: Option<&str>, group: Option<&str>| {
         let (key, group) = (key.map(Into::into), group.map(Into::into));
-        let out = node.handle_event(0, Event::Demand(Demand { key, group, ..Demand::new(call, 0, S) }));
-        let host = sent_host(&out).expect("placed");
+        let actions = node.handle_event(0, Event::Demand(Demand { key, group, ..Demand::new(call, 0, S) }));
+        let host = sent_host(&actions).expect("placed");
         node.report_finished(0, call, host, Outcome::Ok, true);
         host
     };
@@ -75,25 +76,26 @@
 }
 
 #[test]
-fn a_circle_that_changed_point_by_point_equals_one_built_afresh() {
+fn a_ring_updated_step_by_step_equals_one_built_at_once() {
     let mut changed = Node::new(settings(), 1..=30);
     let gone = |h: HostId| Entry { state: HostState::Gone, ..Entry::ready(h) };
     changed.update_members(1, ListKind::Changes, vec![gone(3), Entry::ready(40), gone(17), Entry::ready(41)]);
     changed.update_members(2, ListKind::Changes, vec![Entry::ready(3), gone(40), gone(99)]);
     changed.update_members(3, ListKind::Full, (2..=35).filter(|h| *h != 20).map(Entry::ready).collect());
     changed.update_members(4, ListKind::Changes, vec![gone(5), Entry::ready(5), Entry::ready(5)]);
-    let mut fresh = Node::new(settings(), (2..=35).filter(|h| *h != 20));
+    let mut rebuilt = Node::new(settings(), (2..=35).filter(|h| *h != 20));
     for i in 0..2000 {
         let (call, group) = (format!("c{i}"), format!("g{i}"));
-        // Every successor in turn, not the first alone.
-        let mut out = (changed.demand(9, &call, 0, Some(&group)), fresh.demand(9, &call, 0, Some(&group)));
+        // Compares several successors of each key, not only the first.
+        let mut actions =
+            (changed.demand(9, &call, 0, Some(&group)), rebuilt.demand(9, &call, 0, Some(&group)));
         for _ in 0..3 {
-            assert_eq!(out.0, out.1);
-            let host = sent_host(&out.0).expect("placed");
-            let full = |node: &mut Node| node.report_finished(9, &call, host, Outcome::Moot, false);
-            out = (full(&mut changed), full(&mut fresh));
+            assert_eq!(actions.0, actions.1);
+            let host = sent_host(&actions.0).expect("placed");
+            let moot = |node: &mut Node| node.report_finished(9, &call, host, Outcome::Moot, false);
+            actions = (moot(&mut changed), moot(&mut rebuilt));
         }
-        changed.report_finished(9, &call, sent_host(&out.0).expect("placed"), Outcome::Ok, true);
-        fresh.report_finished(9, &call, sent_host(&out.1).expect("placed"), Outcome::Ok, true);
+        changed.report_finished(9, &call, sent_host(&actions.0).expect("placed"), Outcome::Ok, true);
+        rebuilt.report_finished(9, &call, sent_host(&actions.1).expect("placed"), Outcome::Ok, true);
     }
 }
