--- a/tests/ending.rs
+++ b/tests/ending.rs
@@ -1,66 +1,80 @@
-//! Stories of the program's last moments: whoever asks in them has an answer, and nothing is cut off.
+//! Shutdown of the process: every client that sends a command gets an answer, and no connection is cut off.
 
 mod peers;
 use peers::*;
 use std::sync::mpsc::channel;
 
-const SHORT: &str = "\"DeadlineMs\":700";
+/// Setting of a class with a deadline of 700 ms.
+const SHORT_DEADLINE: &str = "\"DeadlineMs\":700";
 
-fn settings() -> String {
-    SETTINGS.replace("\"DeadlineMs\":2000", SHORT)
+fn settings_with_short_deadline() -> String {
+    SETTINGS.replace("\"DeadlineMs\":2000", SHORT_DEADLINE)
 }
 
-fn echoing() -> Vec<String> {
-    let (told, _) = channel();
-    vec![entry("s-00000001", echo("a", told), "ready")]
+fn list_with_echo_instance() -> Vec<String> {
+    let (reports, _) = channel();
+    vec![entry("s-00000001", echo("a", reports), "ready")]
 }
 
-/// Guards against connections that are cut off at the end without a word: one rests, one has half a line, one says nothing.
+/// Guards against connections that are cut off at shutdown without an answer: idle ones, and one with half a first line.
 #[test]
-fn whoever_rests_at_the_end_is_answered_and_closed_softly() {
-    let balancer = Balancer::with(&Discovery::quiet(), &echoing(), None, &settings(), "text");
-    let (mut rests, mut half, mut mute) = (balancer.client(), balancer.client(), balancer.client());
-    assert_eq!(rests.say("PING\r\n").hear(), "PONG");
-    half.say("PING\r\nOPEN 1 2 c=wa");
-    assert_eq!(half.hear(), "PONG");
-    assert_eq!(mute.say("PING\r\n").hear(), "PONG");
+fn idle_clients_get_an_answer_and_a_clean_close_at_shutdown() {
+    let balancer = Balancer::with(
+        &Discovery::quiet(),
+        &list_with_echo_instance(),
+        None,
+        &settings_with_short_deadline(),
+        "text",
+    );
+    let (mut idle, mut with_half_line, mut silent) =
+        (balancer.client(), balancer.client(), balancer.client());
+    assert_eq!(idle.say("PING\r\n").hear(), "PONG");
+    with_half_line.say("PING\r\nOPEN 1 2 c=wa");
+    assert_eq!(with_half_line.hear(), "PONG");
+    assert_eq!(silent.say("PING\r\n").hear(), "PONG");
     balancer.terminate();
-    for peer in [&mut rests, &mut half, &mut mute] {
+    for peer in [&mut idle, &mut with_half_line, &mut silent] {
         assert_eq!((peer.hear().as_str(), peer.hear().as_str()), ("BUSY", "END"));
     }
 }
 
-/// Guards against a first line that has come when the program's time is up, and is lost with its connection: the program is stopped
-/// until its end has passed, and finds both in one turn.
+/// Guards against losing a first line, together with its connection, that arrives as the shutdown period ends. The process
+/// is stopped with SIGSTOP until the period is over, so that it finds both events in one iteration of its loop.
 #[test]
-fn a_first_line_that_comes_in_the_moment_of_the_end_has_its_answer() {
-    let balancer = Balancer::with(&Discovery::quiet(), &echoing(), None, &settings(), "text");
-    let mut rests = balancer.client();
-    assert_eq!(rests.say("PING\r\n").hear(), "PONG");
+fn a_first_line_that_arrives_as_the_shutdown_period_ends_is_answered() {
+    let balancer = Balancer::with(
+        &Discovery::quiet(),
+        &list_with_echo_instance(),
+        None,
+        &settings_with_short_deadline(),
+        "text",
+    );
+    let mut idle = balancer.client();
+    assert_eq!(idle.say("PING\r\n").hear(), "PONG");
     balancer.terminate();
     balancer.logged("leaving: ");
     balancer.signal("-STOP");
-    // Longer than it has; nothing else tells that its end has passed.
+    // Longer than the shutdown period; no other signal shows that the period is over.
     std::thread::sleep(std::time::Duration::from_millis(1_500));
-    rests.say("OPEN 1 2 c=watch,d=5000\r\n");
+    idle.say("OPEN 1 2 c=watch,d=5000\r\n");
     balancer.signal("-CONT");
-    let answer = rests.hear();
+    let answer = idle.hear();
     assert!(answer == "BUSY" || answer == "UP 1", "{answer}");
     if answer == "UP 1" {
-        assert_eq!(rests.hear(), "MOVE");
+        assert_eq!(idle.hear(), "MOVE");
     }
-    assert_eq!(rests.hear(), "END");
+    assert_eq!(idle.hear(), "END");
 }
 
-/// Guards against a close over bytes unread, which resets the connection and takes the last line with it.
+/// Guards against a close with unread bytes, which resets the connection and loses the last line.
 #[test]
-fn a_moved_client_that_has_written_meanwhile_has_its_last_lines_and_a_plain_end() {
-    let (told, heard) = channel();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
-    let balancer = Balancer::with(&Discovery::quiet(), &list, None, &settings(), "text");
+fn a_moved_client_with_unread_input_gets_its_last_lines_and_a_clean_close() {
+    let (reports, reported) = channel();
+    let list = [entry("s-00000001", echo("a", reports), "ready")];
+    let balancer = Balancer::with(&Discovery::quiet(), &list, None, &settings_with_short_deadline(), "text");
     let mut client = balancer.client();
     assert_eq!(client.say("OPEN 1 2 c=watch,d=700\r\n").hear(), "UP 1");
-    heard.recv().unwrap();
+    reported.recv().unwrap();
     balancer.terminate();
     balancer.logged("leaving: ");
     balancer.signal("-STOP");
--- a/tests/left.rs
+++ b/tests/left.rs
@@ -1,77 +1,78 @@
-//! Stories of clients that leave while their command waits: nothing is sent on for them, whatever comes up in the same turn.
+//! Clients that disconnect while their command waits: nothing more is sent for them, whatever happens at the same time.
 //!
-//! An instant is forced by stopping the program: what happens meanwhile it finds in one turn, all at once.
+//! Two events are made to coincide by stopping the balancer with SIGSTOP: it finds both in one iteration of its loop.
 
 mod peers;
 use peers::*;
 use std::net::Shutdown;
 use std::sync::mpsc::channel;
 
-/// Guards against a first line that is sent for a client that left while its connection was made, both in one turn.
+/// Guards against sending a first line for a client that disconnects at the moment when the connection to the instance is
+/// established.
 #[test]
-fn a_client_that_leaves_while_the_connection_is_made_is_not_sent_on() {
-    for (how, early) in [("ends", false), ("ends behind bytes of its own", true)] {
-        let shut = Shut::new();
+fn nothing_is_sent_for_a_client_that_disconnects_while_the_connection_is_established() {
+    for (how, with_early_bytes) in [("disconnects", false), ("sends more bytes and disconnects", true)] {
+        let listener = Shut::new();
         let settings = patient();
-        let list = [entry("s-00000001", shut.address(), "ready")];
+        let list = [entry("s-00000001", listener.address(), "ready")];
         let balancer = Balancer::with(&Discovery::quiet(), &list, None, &settings, "text");
         let mut client = balancer.client();
         client.say("OPEN 1 2 c=watch,d=8000\r\n");
-        shut.dialled();
+        listener.dialled();
         balancer.signal("-STOP");
-        if early {
+        if with_early_bytes {
             client.say("early\r\n");
         }
         client.stream.shutdown(Shutdown::Write).unwrap();
-        let mut dialled = shut.open();
+        let mut connection = listener.open();
         balancer.signal("-CONT");
-        assert_eq!(dialled.rest(), "", "a client that {how}");
+        assert_eq!(connection.rest(), "", "a client that {how}");
     }
 }
 
-/// Guards against a repeat that is sent for a client that left in the very turn in which the first execution was turned away.
+/// Guards against a repeat for a client that disconnects at the moment when its first execution is rejected.
 #[test]
-fn a_client_that_leaves_as_its_first_execution_is_turned_away_is_not_sent_on_again() {
-    let (told, heard) = channel();
-    let (a, say_a) = held(told.clone());
-    let (b, say_b) = held(told);
+fn a_command_is_not_repeated_when_its_client_disconnects_as_the_first_execution_is_rejected() {
+    let (reports, reported) = channel();
+    let (a, send_answer_a) = held(reports.clone());
+    let (b, send_answer_b) = held(reports);
     let list = [entry("s-00000001", a, "ready"), entry("s-00000002", b, "ready")];
     let balancer = Balancer::with(&Discovery::quiet(), &list, None, &patient(), "text");
     let mut client = balancer.client();
     client.say("OPEN 1 2 c=watch,d=8000\r\n");
-    assert!(heard.recv().unwrap().starts_with("OPEN 1 2"));
+    assert!(reported.recv().unwrap().starts_with("OPEN 1 2"));
     balancer.signal("-STOP");
     client.stream.shutdown(Shutdown::Both).unwrap();
-    // Only the one that was asked has a connection that waits for a word.
-    for say in [&say_a, &say_b] {
-        say.send("BUSY\r\n").unwrap();
+    // Only the instance that got the command has a connection that waits for an answer.
+    for send_answer in [&send_answer_a, &send_answer_b] {
+        send_answer.send("BUSY\r\n").unwrap();
     }
     balancer.signal("-CONT");
-    // Its connection ends, over an answer that nobody wants any more; whoever comes next is another client.
-    let end = heard.recv().unwrap();
-    assert!(["then END", "then RESET"].contains(&end.as_str()), "{end}");
+    // The connection closes on the unneeded answer, and the next first line is that of another client.
+    let ending = reported.recv().unwrap();
+    assert!(["then END", "then RESET"].contains(&ending.as_str()), "{ending}");
     let mut next = balancer.client();
     next.say("OPEN 3 4 c=watch,d=8000\r\n");
-    let first = heard.recv().unwrap();
+    let first = reported.recv().unwrap();
     assert!(first.starts_with("OPEN 3 4"), "{first}");
 }
 
-/// Guards against an execution that stays out at its instance, and on the books, when its client has left.
+/// Guards against an execution that continues at its instance, and stays counted, after its client has disconnected.
 #[test]
-fn an_execution_whose_client_leaves_is_given_up_and_its_id_is_free_again() {
-    let (told, heard) = channel();
-    let (a, say) = held(told);
+fn an_execution_is_abandoned_and_its_id_freed_when_its_client_disconnects() {
+    let (reports, reported) = channel();
+    let (a, send_answer) = held(reports);
     let balancer =
         Balancer::with(&Discovery::quiet(), &[entry("s-00000001", a, "ready")], None, &patient(), "text");
     let mut client = balancer.client();
     client.say("OPEN 1 2 c=watch,d=8000\r\n");
-    assert!(heard.recv().unwrap().starts_with("OPEN 1 2"));
+    assert!(reported.recv().unwrap().starts_with("OPEN 1 2"));
     drop(client);
-    say.send("").unwrap();
-    assert_eq!(heard.recv().unwrap(), "then END");
-    let mut again = balancer.client();
-    again.say("OPEN 1 2 c=watch,d=8000\r\n");
-    assert!(heard.recv().unwrap().starts_with("OPEN 1 2"));
-    say.send("UP 7\r\n").unwrap();
-    assert_eq!(again.hear(), "UP 7");
+    send_answer.send("").unwrap();
+    assert_eq!(reported.recv().unwrap(), "then END");
+    let mut second_client = balancer.client();
+    second_client.say("OPEN 1 2 c=watch,d=8000\r\n");
+    assert!(reported.recv().unwrap().starts_with("OPEN 1 2"));
+    send_answer.send("UP 7\r\n").unwrap();
+    assert_eq!(second_client.hear(), "UP 7");
 }
