--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,7 @@
-//! Stories of two things that come in one instant: a second answer, a dial that comes up as it is given up, an answer in the turn
-//! of the deadline, lines that are still to be written at the end, and many who send much and go.
+//! Races between two events, and limits of buffers: a second answer, a connection that is established as its command
+//! expires, an answer at the deadline, lines not yet written at shutdown, and clients that send much and disconnect.
+//!
+//! Two events are made to coincide by stopping the balancer with SIGSTOP: it finds both in one iteration of its loop.
 
 mod peers;
 use peers::*;
@@ -8,25 +10,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Guards against an answer that is given twice: an instance that turned a command away brings it up some milliseconds later,
-/// while another has it.
+/// Guards against a second answer to a client: an instance that rejected a command accepts it some milliseconds later,
+/// while another instance executes it.
 #[test]
-fn a_second_answer_of_an_instance_reaches_nobody() {
-    let (told, heard) = channel();
-    let first = Arc::new(Mutex::new(true));
-    let (turn, turned) = channel::<()>();
-    let turned = Arc::new(Mutex::new(turned));
-    let one = || {
-        let (told, first, turned) = (told.clone(), first.clone(), turned.clone());
+fn a_second_answer_of_an_instance_reaches_no_client() {
+    let (reports, reported) = channel();
+    let first_execution = Arc::new(Mutex::new(true));
+    let (send_second_answer, second_answer_due) = channel::<()>();
+    let second_answer_due = Arc::new(Mutex::new(second_answer_due));
+    let new_instance = || {
+        let (reports, first_execution, second_answer_due) =
+            (reports.clone(), first_execution.clone(), second_answer_due.clone());
         instance(move |mut peer| {
             if !peer.hear().starts_with("OPEN") {
                 return;
             }
-            if std::mem::take(&mut *first.lock().unwrap()) {
+            if std::mem::take(&mut *first_execution.lock().unwrap()) {
                 peer.say("BUSY 100\r\n");
-                turned.lock().unwrap().recv().unwrap();
+                second_answer_due.lock().unwrap().recv().unwrap();
                 let _ = peer.stream.write_all(b"UP 1\r\nfrom another\r\n");
-                let _ = told.send(peer.hear());
+                let _ = reports.send(peer.hear());
             } else {
                 peer.say("UP 1\r\n");
                 while !matches!(peer.hear().as_str(), "END" | "RESET") {
@@ -35,151 +38,158 @@
             }
         })
     };
-    let list = [entry("s-00000001", one(), "ready"), entry("s-00000002", one(), "ready")];
+    let list = [entry("s-00000001", new_instance(), "ready"), entry("s-00000002", new_instance(), "ready")];
     let balancer = Balancer::with(&Discovery::quiet(), &list, None, &patient(), "text");
     let mut client = balancer.client();
     assert_eq!(client.say("OPEN 1 2 c=watch,d=5000\r\n").hear(), "UP 1");
-    turn.send(()).unwrap();
-    let end = heard.recv().unwrap();
-    assert!(matches!(end.as_str(), "END" | "RESET"), "its connection was closed: {end}");
-    assert_eq!(client.say("on\r\n").hear(), "back", "nothing came between");
+    send_second_answer.send(()).unwrap();
+    let next_line = reported.recv().unwrap();
+    assert!(matches!(next_line.as_str(), "END" | "RESET"), "its connection was not closed: {next_line}");
+    assert_eq!(client.say("on\r\n").hear(), "back", "the client received something else in between");
 }
 
-/// Guards against a command that is sent though its client has been answered: its dial comes up in the turn in which its time is
-/// over.
+/// Guards against sending a command whose client has already been answered: the connection to the instance is
+/// established in the loop iteration in which the deadline passes.
 #[test]
-fn a_dial_that_comes_up_in_the_turn_in_which_it_is_given_up_brings_nothing() {
-    let shut = Shut::new();
-    let list = [entry("s-00000001", shut.address(), "ready")];
+fn nothing_is_sent_on_a_connection_established_as_its_command_expires() {
+    let listener = Shut::new();
+    let list = [entry("s-00000001", listener.address(), "ready")];
     let mut balancer = Balancer::with(&Discovery::quiet(), &list, None, &patient(), "text");
     let mut client = balancer.client();
     client.say("OPEN 1 2 c=watch,d=600\r\n");
-    shut.dialled();
+    listener.dialled();
     balancer.signal("-STOP");
-    let mut dialled = shut.open();
+    let mut connection = listener.open();
     std::thread::sleep(Duration::from_millis(700));
     balancer.signal("-CONT");
     let answer = client.hear();
     assert!(answer.starts_with("BUSY") || answer.starts_with("ERR"), "{answer}");
     assert_eq!(client.hear(), "END", "one answer");
-    assert_eq!(dialled.rest(), "");
+    assert_eq!(connection.rest(), "");
     assert!(balancer.runs());
 }
 
-/// Guards against two final answers, none, or a connection that stands at an instance for nobody: the answer comes in the turn
-/// of the deadline.
+/// Guards against two final answers, no answer, or a connection that stays open at an instance without a client: the
+/// answer arrives in the loop iteration in which the deadline passes.
 #[test]
-fn an_answer_in_the_turn_of_the_deadline_is_the_only_one() {
-    let (told, heard) = channel();
-    let (address, say) = held(told);
+fn an_answer_that_arrives_together_with_the_deadline_is_the_only_one() {
+    let (reports, reported) = channel();
+    let (address, send_answer) = held(reports);
     let list = [entry("s-00000001", address, "ready")];
     let mut balancer = Balancer::with(&Discovery::quiet(), &list, None, &patient(), "text");
     for (id, answer) in [("1", "UP 1\r\n"), ("2", "BUSY 50\r\n"), ("3", "ERR\r\n")] {
         let mut client = balancer.client();
         client.say(&format!("OPEN {id} 2 c=watch,d=600\r\n"));
-        assert!(heard.recv().unwrap().starts_with(&format!("OPEN {id} ")));
+        assert!(reported.recv().unwrap().starts_with(&format!("OPEN {id} ")));
         balancer.signal("-STOP");
-        say.send(answer).unwrap();
+        send_answer.send(answer).unwrap();
         std::thread::sleep(Duration::from_millis(700));
         balancer.signal("-CONT");
-        let came = client.hear();
-        if came == "UP 1" {
+        let received = client.hear();
+        if received == "UP 1" {
             assert_eq!(client.say("on\r\n").hear(), "on");
-            assert_eq!(heard.recv().unwrap(), "then on");
+            assert_eq!(reported.recv().unwrap(), "then on");
             drop(client);
         } else {
-            assert!(came.starts_with("BUSY") || came.starts_with("ERR"), "{came}");
+            assert!(received.starts_with("BUSY") || received.starts_with("ERR"), "{received}");
             assert_eq!(client.hear(), "END", "one answer");
         }
-        let end = heard.recv().unwrap();
-        assert!(matches!(end.as_str(), "then END" | "then RESET"), "{answer:?} is left: {end}");
+        let ending = reported.recv().unwrap();
+        assert!(
+            matches!(ending.as_str(), "then END" | "then RESET"),
+            "connection is left open after {answer:?}: {ending}"
+        );
     }
     assert!(balancer.runs());
 }
 
-/// Guards against lines that were taken from an instance and are lost, or cut in two, because the program ends before its client
-/// has read them.
+/// Guards against lines of an instance that are lost or truncated because the process ends before the client has read
+/// them.
 #[test]
-fn what_was_taken_from_an_instance_is_written_whole_before_the_end() {
+fn lines_read_from_an_instance_are_written_completely_before_the_process_ends() {
     const LINES: usize = 2_000;
-    let (told, heard) = channel();
-    let many = instance(move |mut peer| {
+    let (reports, reported) = channel();
+    let sending_instance = instance(move |mut peer| {
         peer.hear();
         peer.say("UP 1\r\n");
         for n in 0..LINES {
             peer.say(&format!("{n} {}\r\n", "x".repeat(100)));
         }
-        let _ = told.send(());
+        let _ = reports.send(());
         peer.rest();
     });
-    let list = [entry("s-00000001", many, "ready")];
+    let list = [entry("s-00000001", sending_instance, "ready")];
     let balancer = Balancer::start(&Discovery::quiet(), &list, None);
     let mut client = balancer.client();
     client.say("OPEN 1 2 c=watch,d=2000\r\n");
-    heard.recv().unwrap();
+    reported.recv().unwrap();
     balancer.terminate();
     balancer.logged("leaving");
     assert_eq!(client.hear(), "UP 1");
     let mut lines: Vec<String> = client.rest().lines().map(String::from).collect();
     assert_eq!(lines.pop().as_deref(), Some("MOVE"));
-    let whole = |(n, line): (usize, &String)| *line == format!("{n} {}", "x".repeat(100));
-    assert!(lines.iter().enumerate().all(whole), "in order and whole: {} lines", lines.len());
+    let is_complete = |(n, line): (usize, &String)| *line == format!("{n} {}", "x".repeat(100));
+    assert!(
+        lines.iter().enumerate().all(is_complete),
+        "lines are out of order or incomplete, {} in all",
+        lines.len()
+    );
     assert_eq!(lines.len(), LINES);
 }
 
-/// Memory of a process that is not shared or swapped out, in kilobytes.
-fn resident(id: u32) -> u64 {
+/// Returns the resident memory of a process in kilobytes.
+fn resident_kb(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Guards against memory that grows with what clients send and nobody takes, and does not come back when they go: before their first
-/// line is whole, and as they stand at an instance that does not read.
+/// Guards against memory that grows with unread bytes from clients and is not released when they disconnect, both before
+/// their first line is complete and while they are connected to an instance that does not read.
 #[test]
-fn clients_that_send_much_and_go_cost_bounded_memory() {
-    let (told, heard) = channel();
-    // Reads nothing until the story is over.
-    let (_done, wait) = channel::<()>();
-    let wait = Arc::new(Mutex::new(wait));
-    let deaf = instance(move |mut peer| {
+fn clients_that_send_much_and_disconnect_use_bounded_memory() {
+    let (reports, reported) = channel();
+    // The instance reads nothing until the test is over.
+    let (_test_over, test_over) = channel::<()>();
+    let test_over = Arc::new(Mutex::new(test_over));
+    let non_reading_instance = instance(move |mut peer| {
         if peer.hear().starts_with("OPEN") {
             peer.say("UP 1\r\n");
-            let _ = told.send(());
-            let _ = wait.lock().unwrap().recv();
+            let _ = reports.send(());
+            let _ = test_over.lock().unwrap().recv();
         }
     });
-    let list = [entry("s-00000001", deaf, "ready")];
+    let list = [entry("s-00000001", non_reading_instance, "ready")];
     let mut balancer = Balancer::start(&Discovery::quiet(), &list, None);
-    let before = resident(balancer.id());
-    let flood = |client: &mut Lines| {
+    let initial_kb = resident_kb(balancer.id());
+    let send_until_blocked = |client: &mut Lines| {
         client.stream.set_nonblocking(true).unwrap();
         let junk = vec![b'x'; 1 << 16];
-        // Until nothing more is taken, or the connection is ended.
+        // Sends until the balancer reads no more or closes the connection.
         let sent: usize = std::iter::from_fn(|| client.stream.write(&junk).ok()).take(200).sum();
         client.stream.set_nonblocking(false).unwrap();
         sent
     };
-    let mut most = before;
+    let mut largest_kb = initial_kb;
     for round in 0..4 {
-        let mut stand: Vec<Lines> = (0..40)
+        let mut connected: Vec<Lines> = (0..40)
             .map(|n| {
                 let mut client = balancer.client();
                 assert_eq!(client.say(&format!("OPEN {round}-{n} {n} c=watch,d=2000\r\n")).hear(), "UP 1");
-                heard.recv().unwrap();
+                reported.recv().unwrap();
                 client
             })
             .collect();
-        let mut ask: Vec<Lines> = (0..40).map(|_| balancer.client()).collect();
-        let sent: usize = stand.iter_mut().chain(&mut ask).map(flood).sum();
+        let mut unplaced: Vec<Lines> = (0..40).map(|_| balancer.client()).collect();
+        let sent: usize = connected.iter_mut().chain(&mut unplaced).map(send_until_blocked).sum();
         assert!(sent > 40 << 16, "{sent}");
-        // One more is served all the same: by then the others' bytes were read.
-        let mut one = balancer.client();
-        assert_eq!(one.say(&format!("OPEN {round}-one one c=watch,d=2000\r\n")).hear(), "UP 1");
-        heard.recv().unwrap();
-        most = most.max(resident(balancer.id()));
+        // Another client is still served; by then the bytes of the others have been read.
+        let mut extra_client = balancer.client();
+        assert_eq!(extra_client.say(&format!("OPEN {round}-one one c=watch,d=2000\r\n")).hear(), "UP 1");
+        reported.recv().unwrap();
+        largest_kb = largest_kb.max(resident_kb(balancer.id()));
     }
-    // 80 at a time with a line of 4 KB or four of them each way, beside what the program itself needs.
-    assert!(most < before + 8_192, "{before} KB, then {most} KB");
+    // 80 clients at a time, each with one to four lines of 4 KB in each direction, in addition to the initial memory.
+    assert!(largest_kb < initial_kb + 8_192, "{initial_kb} KB, then {largest_kb} KB");
     assert!(balancer.runs());
 }
