--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -1,19 +1,19 @@
-//! Stories of two customers whose settings differ in everything: what one set is never done to the other, side by side, and not
-//! when the settings of the one are laid where the other's were.
+//! Two customers whose settings differ throughout: the settings of one never apply to the other, neither side by side nor
+//! when the file of one replaces the file of the other.
 
 mod peers;
 use peers::*;
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// One customer's platform: an alert may go out once, a feed as often as one likes.
+/// Settings of one customer: an alert may run only once, a feed may be repeated.
 const PILOTS: &str = r#"{"Areas":["a","q"],"MyZone":"a","PeersTotal":1,"RegistryMode":"subscribe",
   "Classes":[{"Name":"feed","AimMs":9000,"DeadlineMs":2500,"Effect":"free","Group":"all","Worth":1},
              {"Name":"alert","AimMs":9000,"DeadlineMs":700,"Effect":"once","Worth":9}],
   "Guarantees":{"ColdShare":1.0,"DrainGraceMs":300,"MustAskInMs":10000},
   "PolicyLimits":{"SendCap":2,"ConnectTimeoutMs":300,"RetryAfter":true,"MaxRetryAfterMs":250}}"#;
 
-/// The other's: the same names in another order with other meanings, and a third one.
+/// Settings of the other customer: the same class names in another order with other effects, and a third class.
 const WARDS: &str = r#"{"Areas":["w","a"],"MyZone":"a","PeersTotal":1,"RegistryMode":"subscribe",
   "Classes":[{"Name":"alert","AimMs":9000,"DeadlineMs":3000,"Effect":"free","Group":"all","Worth":2},
              {"Name":"bed","AimMs":9000,"DeadlineMs":1500,"Effect":"guarded","WindowMs":400,"Worth":5},
@@ -21,83 +21,92 @@
   "Guarantees":{"ColdShare":0.5,"ColdMs":4000,"DrainGraceMs":900,"MustAskInMs":5000},
   "PolicyLimits":{"SendCap":4,"ConnectTimeoutMs":800,"RetryAfter":true,"MaxRetryAfterMs":4000}}"#;
 
-/// A customer's balancer with two instances that fail, and how often they were asked.
-fn served(settings: &str) -> (Balancer, Receiver<String>) {
-    let (told, heard) = channel();
-    let list = ["s-00000001", "s-00000002"].map(|name| entry(name, failing(told.clone()), "ready"));
-    (Balancer::with(&Discovery::quiet(), &list, None, settings, "text"), heard)
+/// Starts a customer's balancer with two failing instances, and returns the first lines that they get.
+fn balancer_with_failing_instances(settings: &str) -> (Balancer, Receiver<String>) {
+    let (reports, reported) = channel();
+    let list = ["s-00000001", "s-00000002"].map(|name| entry(name, failing(reports.clone()), "ready"));
+    (Balancer::with(&Discovery::quiet(), &list, None, settings, "text"), reported)
 }
 
-/// What a command of a class is answered, and how often it was sent out for that.
-fn sent(balancer: &Balancer, heard: &Receiver<String>, class: &str, id: &str) -> (String, usize) {
+/// Returns the answer to a command of a class and the number of its executions.
+fn answer_and_executions(
+    balancer: &Balancer,
+    reported: &Receiver<String>,
+    class: &str,
+    id: &str,
+) -> (String, usize) {
     let answer = balancer.client().say(&format!("OPEN {id} 2 c={class},d=2000\r\n")).hear();
-    let sends = heard.try_iter().filter(|first| first.starts_with(&format!("OPEN {id} "))).count();
-    (answer, sends)
+    let executions = reported.try_iter().filter(|first| first.starts_with(&format!("OPEN {id} "))).count();
+    (answer, executions)
 }
 
-/// Guards against an effect that is taken from a class of the same name or number at another customer.
+/// Guards against taking the effect from a class of the same name or index of another customer.
 #[test]
-fn a_class_has_the_effect_that_its_own_customer_gave_it() {
-    let (pilots, at_pilots) = served(PILOTS);
-    let (wards, at_wards) = served(WARDS);
+fn a_class_has_the_effect_from_its_own_customers_settings() {
+    let (pilots, at_pilots) = balancer_with_failing_instances(PILOTS);
+    let (wards, at_wards) = balancer_with_failing_instances(WARDS);
     for round in 0..3 {
         let id = |what: &str| format!("{what}-{round}");
-        assert_eq!(sent(&pilots, &at_pilots, "alert", &id("pa")).1, 1, "once");
-        assert!(sent(&wards, &at_wards, "alert", &id("wa")).1 > 1, "free");
-        assert!(sent(&pilots, &at_pilots, "feed", &id("pf")).1 > 1, "free");
-        assert_eq!(sent(&wards, &at_wards, "feed", &id("wf")).1, 1, "once");
+        assert_eq!(answer_and_executions(&pilots, &at_pilots, "alert", &id("pa")).1, 1, "once");
+        assert!(answer_and_executions(&wards, &at_wards, "alert", &id("wa")).1 > 1, "free");
+        assert!(answer_and_executions(&pilots, &at_pilots, "feed", &id("pf")).1 > 1, "free");
+        assert_eq!(answer_and_executions(&wards, &at_wards, "feed", &id("wf")).1, 1, "once");
     }
-    // The third class of the one is none of the other's: no effect is known, so it is not sent twice.
-    assert!(sent(&pilots, &at_pilots, "bed", "pb").1 <= 1);
+    // The third class of one customer is unknown to the other, so the command is not sent twice.
+    assert!(answer_and_executions(&pilots, &at_pilots, "bed", "pb").1 <= 1);
 }
 
-/// Guards against a deadline, or a time to come back, of another customer.
+/// Guards against the deadline or the retry delay of another customer.
 #[test]
-fn a_client_is_answered_in_the_time_and_told_the_wait_of_its_own_customer() {
-    let wait = |settings: &str, class: &str| {
-        let shut = Shut::new();
-        let list = [entry("s-00000001", shut.address(), "ready")];
+fn a_client_gets_the_deadline_and_retry_delay_of_its_own_customer() {
+    let time_to_answer = |settings: &str, class: &str| {
+        let listener = Shut::new();
+        let list = [entry("s-00000001", listener.address(), "ready")];
         let balancer = Balancer::with(&Discovery::quiet(), &list, None, settings, "text");
-        let begun = Instant::now();
+        let started = Instant::now();
         let answer = balancer.client().say(&format!("OPEN 1 2 c={class},d=9000\r\n")).hear();
         assert!(answer.starts_with("BUSY") || answer.starts_with("ERR"), "{answer}");
-        (begun.elapsed(), answer)
+        (started.elapsed(), answer)
     };
-    assert!(wait(PILOTS, "alert").0 < Duration::from_millis(700));
-    let (took, _) = wait(WARDS, "alert");
-    assert!(took < Duration::from_millis(3_000), "{took:?}");
-    // Nobody is there at all: all are told to come back, as late as their own customer allows at most.
-    let back = |settings: &str| {
+    assert!(time_to_answer(PILOTS, "alert").0 < Duration::from_millis(700));
+    let (elapsed, _) = time_to_answer(WARDS, "alert");
+    assert!(elapsed < Duration::from_millis(3_000), "{elapsed:?}");
+    // Without instances every client is refused, with a retry delay of at most what its own customer allows.
+    let largest_retry_delay = |settings: &str| {
         let balancer = Balancer::with(&Discovery::quiet(), &[], None, settings, "text");
-        let after = (0..20).map(|n| {
+        let retry_delays = (0..20).map(|n| {
             let answer = balancer.client().say(&format!("OPEN {n} 2 c=alert,d=400\r\n")).hear();
             answer.strip_prefix("BUSY ").expect(&answer).parse::<u64>().unwrap()
         });
-        after.max().unwrap()
+        retry_delays.max().unwrap()
     };
-    let (pilots, wards) = (back(PILOTS), back(WARDS));
+    let (pilots, wards) = (largest_retry_delay(PILOTS), largest_retry_delay(WARDS));
     assert!(pilots <= 250 && wards > 250 && wards <= 4_000, "{pilots} and {wards} ms");
 }
 
-/// Guards against the classes, limits and times of a configuration that was laid in the place of a running one's: only where
-/// discovery is may change while clients stand, and the rest is told to be for the next start.
+/// Guards against classes, limits and times from a configuration that replaces the file of a running process: only the
+/// discovery address may change while it runs; the log says that the rest is ignored until the next start.
 #[test]
-fn another_customers_settings_do_not_come_in_by_a_signal() {
-    let (pilots, heard) = served(PILOTS);
-    assert_eq!(sent(&pilots, &heard, "alert", "before").1, 1);
+fn a_reload_does_not_apply_another_customers_settings() {
+    let (pilots, reported) = balancer_with_failing_instances(PILOTS);
+    assert_eq!(answer_and_executions(&pilots, &reported, "alert", "before").1, 1);
     pilots.reload(|text| text.replace(PILOTS, WARDS));
     assert!(pilots.logged("ignored until the next start").contains("settings"));
-    assert_eq!(sent(&pilots, &heard, "alert", "after").1, 1, "it may go out once still");
-    assert!(sent(&pilots, &heard, "feed", "fed").1 > 1, "and the other as often as before");
+    assert_eq!(
+        answer_and_executions(&pilots, &reported, "alert", "after").1,
+        1,
+        "an alert still runs only once"
+    );
+    assert!(answer_and_executions(&pilots, &reported, "feed", "fed").1 > 1, "a feed is still repeated");
 }
 
-/// Guards against a contract, or what was taken of it, that passes to another customer's team with its place in the file.
+/// Guards against a contract, or its used part, that passes to another customer's team at the same position in the file.
 #[test]
-fn a_new_file_of_teams_leaves_nothing_of_the_old_ones_contracts() {
-    let (told, _heard) = channel();
-    let list = [entry("s-00000001", echo("a", told), "ready")];
-    let teams = |name: &str, most: u32| {
-        format!("[[team]]\nname = \"{name}\"\nconnections = {most}\n[capacity]\nconnections = {most}\n")
+fn a_new_operator_file_removes_the_contracts_of_the_old_teams() {
+    let (reports, _reported) = channel();
+    let list = [entry("s-00000001", echo("a", reports), "ready")];
+    let teams = |name: &str, connections: u32| {
+        format!("[[team]]\nname = \"{name}\"\nconnections = {connections}\n[capacity]\nconnections = {connections}\n")
     };
     let balancer = Balancer::with(&Discovery::quiet(), &list, Some(&teams("pilots", 2)), PILOTS, "text");
     let open = |id: &str, team: &str| {
@@ -105,14 +114,22 @@
         let answer = client.say(&format!("OPEN {id} 1 c=feed,d=2000,t={team}\r\n")).hear();
         (client, answer)
     };
-    let stand = [open("1", "pilots"), open("2", "pilots")];
-    assert!(stand.iter().all(|(_, answer)| answer.starts_with("UP")), "{:?}", [&stand[0].1, &stand[1].1]);
-    assert!(open("3", "pilots").1.starts_with("BUSY"), "its contract and the room are two");
+    let open_connections = [open("1", "pilots"), open("2", "pilots")];
+    assert!(
+        open_connections.iter().all(|(_, answer)| answer.starts_with("UP")),
+        "{:?}",
+        [&open_connections[0].1, &open_connections[1].1]
+    );
+    assert!(open("3", "pilots").1.starts_with("BUSY"), "the contract and the capacity are two connections");
     balancer.operate(&teams("wards", 5));
     balancer.logged("configuration read again");
-    // Two of five are held by those that stand; nothing of the other team's two is the limit of this one.
-    let come = ["4", "5", "6"].map(|id| open(id, "wards"));
-    assert!(come.iter().all(|(_, answer)| answer.starts_with("UP")), "{:?}", come.map(|(_, a)| a));
-    let mut first = stand.into_iter().next().unwrap().0;
-    assert_eq!(first.say("here\r\n").hear(), "here", "who stood goes on standing");
+    // The open connections use two of five; the other team's limit of two does not apply.
+    let new_connections = ["4", "5", "6"].map(|id| open(id, "wards"));
+    assert!(
+        new_connections.iter().all(|(_, answer)| answer.starts_with("UP")),
+        "{:?}",
+        new_connections.map(|(_, a)| a)
+    );
+    let mut first = open_connections.into_iter().next().unwrap().0;
+    assert_eq!(first.say("here\r\n").hear(), "here", "open connections stay open");
 }
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -1,4 +1,4 @@
-//! Worker files become a configuration that the program's own code reads, and nothing is dropped silently.
+//! Imported worker files give a valid configuration, and every setting that is not imported is reported.
 
 use oakdeal::config::Config;
 use oakdeal::import::import;
@@ -6,7 +6,7 @@
 fn config(text: &str) -> (Config, Vec<String>) {
     let (config, reports) = import(text);
     let reports = reports.into_iter().map(|r| format!("{}: {}", r.line, r.text)).collect();
-    (serde_json::from_value(config).expect("our own form"), reports)
+    (serde_json::from_value(config).expect("a valid configuration"), reports)
 }
 
 fn members(config: &Config) -> Vec<(&str, &str, &str, f64)> {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_mod_proxy_balancer_section_is_taken_over_and_the_rest_reported_by_line() {
+fn a_mod_proxy_balancer_section_is_imported_and_the_rest_is_reported_by_line() {
     let (config, reports) = config(
         r#"# desks
 ProxyPass "/desk" "balancer://desks"
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_mod_jk_worker_file_is_taken_over_and_the_rest_reported_by_line() {
+fn a_mod_jk_worker_file_is_imported_and_the_rest_is_reported_by_line() {
     let (config, reports) = config(
         "worker.list=lb,status\nworker.lb.type=lb\nworker.lb.balance_workers=one,two, three\n\
          worker.lb.sticky_session=1\nworker.lb.retries=2\nworker.one.type=ajp13\nworker.one.host=10.0.0.1\n\
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_empty_or_foreign_file_is_said_to_hold_nothing() {
+fn an_empty_or_unrelated_file_is_reported_to_have_no_members() {
     for text in ["", "Listen 80\n", "worker.\n", "<Proxy \"balancer://x\">\n"] {
         let (_, reports) = config(text);
         assert!(reports.iter().any(|r| r.contains("no member")), "{text}: {reports:?}");
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The list of checks that are known to be red: what CI takes from it, and which entries it refuses.
+//! The list of checks that are known to fail: what CI skips because of it, and which entries it rejects.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -11,7 +11,7 @@
     folder
 }
 
-/// Calls `.ci/known-red` with a list of its own.
+/// Runs `.ci/known-red` with this list and a fixed list of tests.
 fn known_red(name: &str, call: &str, list: &str) -> Output {
     let folder = folder(name);
     let (list_file, tests_file) = (folder.join("list"), folder.join("tests"));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_entry_that_is_a_cargo_test_is_passed_over_and_comments_are_not_entries() {
+fn each_entry_that_is_a_cargo_test_is_skipped_and_comments_are_ignored() {
     let list = "# a comment | with | bars\n\n\
                 a_test | cargo test -- --exact a_test | red at times | 1\n\
                 another_test | cargo test -- --exact another_test | red | 2\n\
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_list_without_entries_passes_over_nothing() {
+fn a_list_without_entries_skips_nothing() {
     for (n, list) in ["", "\n", "# only a comment\n"].iter().enumerate() {
         let output = known_red(&format!("none-{n}"), "args", list);
         assert!(output.status.success() && output.stdout.is_empty(), "{output:?}");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_check_that_is_no_cargo_test_is_printed_and_not_run() {
+fn a_check_that_is_not_a_cargo_test_is_printed_and_not_run() {
     let file = folder("not-run").join("made");
     let output = known_red("print", "play", &format!("a play | touch {} | a floor | 3\n", file.display()));
     let shown = text(&output.stdout);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_entry_that_is_not_whole_or_names_no_single_test_is_refused() {
+fn an_incomplete_entry_or_one_that_does_not_name_exactly_one_test_is_rejected() {
     let refused = [
         ("a_test | cargo test a_test | seen\n", "none of them empty"),
         (" | cargo test a_test | seen | 1\n", "none of them empty"),
--- a/tests/windows.rs
+++ b/tests/windows.rs
@@ -1,53 +1,54 @@
-//! Stories of repeats that their class forbids, or that its window no longer allows when they would be sent.
+//! Repeats that the class forbids, or whose deduplication window has ended by the time when they would be sent.
 
 mod peers;
 use peers::*;
 use std::sync::mpsc::channel;
 
-/// One class with this effect; everything else has its time.
-fn settings(effect: &str) -> String {
+/// Settings with one class of this effect, a window of 600 ms, and other time limits long enough not to matter.
+fn settings_with_effect(effect: &str) -> String {
     let class = format!("\"AimMs\":9000,\"DeadlineMs\":2000,\"Effect\":\"{effect}\",\"WindowMs\":600");
     SETTINGS
         .replace("\"AimMs\":800,\"DeadlineMs\":2000,\"Effect\":\"free\"", &class)
         .replace("\"ConnectTimeoutMs\":500", "\"ConnectTimeoutMs\":8000")
 }
 
-/// Guards against a repeat that was decided on within the window and is sent after it, since its connection came up late.
+/// Guards against a repeat that is decided within the window but sent after it because its connection is slow to establish.
 #[test]
-fn a_repeat_whose_window_closes_while_it_is_dialled_is_not_sent() {
-    let (told, heard) = channel();
-    let shut = Shut::new();
+fn a_repeat_is_not_sent_when_its_window_ends_while_it_connects() {
+    let (reports, reported) = channel();
+    let listener = Shut::new();
     let names = ["s-00000001", "s-00000002"];
-    // Whichever of the two is asked first, the other is the one that comes up late.
+    // The balancer chooses the first instance, so each of the two is the failing one once.
     for first in names {
         let list = names.map(|name| {
-            entry(name, if name == first { failing(told.clone()) } else { shut.address() }, "ready")
+            entry(name, if name == first { failing(reports.clone()) } else { listener.address() }, "ready")
         });
-        let balancer = Balancer::with(&Discovery::quiet(), &list, None, &settings("guarded"), "text");
+        let balancer =
+            Balancer::with(&Discovery::quiet(), &list, None, &settings_with_effect("guarded"), "text");
         let mut client = balancer.client();
         client.say("OPEN 1 2 c=watch,d=8000\r\n");
-        shut.dialled();
-        if heard.try_recv().is_err() {
-            // The late one is asked first here: it is no repeat.
+        listener.dialled();
+        if reported.try_recv().is_err() {
+            // The slow instance was tried first, so this is not a repeat.
             continue;
         }
-        let mut late = shut.open();
+        let mut late_connection = listener.open();
         let answer = client.hear();
-        assert_eq!(late.rest(), "", "it was sent after its window");
-        // Its guard is everywhere, so to come again is harmless.
+        assert_eq!(late_connection.rest(), "", "the command was sent after its window");
+        // All instances deduplicate the command, so the client may safely send it again.
         assert!(answer.starts_with("BUSY"), "{answer}");
         return;
     }
-    panic!("neither was asked first");
+    panic!("no instance was tried first");
 }
 
-/// Guards against an effect that comes twice.
+/// Guards against executing an at-most-once command twice.
 #[test]
-fn what_may_have_run_and_may_not_run_twice_is_failed_and_not_sent_again() {
-    let (told, heard) = channel();
-    let list = ["s-00000001", "s-00000002"].map(|name| entry(name, failing(told.clone()), "ready"));
-    let balancer = Balancer::with(&Discovery::quiet(), &list, None, &settings("once"), "text");
+fn an_at_most_once_command_that_may_have_run_fails_and_is_not_sent_again() {
+    let (reports, reported) = channel();
+    let list = ["s-00000001", "s-00000002"].map(|name| entry(name, failing(reports.clone()), "ready"));
+    let balancer = Balancer::with(&Discovery::quiet(), &list, None, &settings_with_effect("once"), "text");
     assert_eq!(balancer.client().say("OPEN 1 2 c=watch,d=1500\r\n").hear(), "ERR not served");
-    assert!(heard.recv().unwrap().starts_with("OPEN 1 2"));
-    assert!(heard.try_recv().is_err(), "it was sent again");
+    assert!(reported.recv().unwrap().starts_with("OPEN 1 2"));
+    assert!(reported.try_recv().is_err(), "the command was sent again");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,17 +1,18 @@
-//! The adapter as a process, and the wire's odd corners.
+//! The adapter `oakdeal-drill` as a process, and unusual input on its line protocol.
 
 use oakdeal::wire::Line;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn drill(input: &str) -> Output {
+/// Runs the adapter with this input and returns its output.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_oakdeal-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("starts");
-    // A broken pipe is fine: the adapter may have stopped at a bad line.
+    // A broken pipe is no error here: the adapter may have stopped at a bad line.
     let _ = child.stdin.take().expect("input").write_all(input.as_bytes());
     child.wait_with_output().expect("ends")
 }
@@ -28,7 +29,7 @@
 {"Demand":{"Node":3,"Call":"5d3a91c4-88d3-41e8-acb7-1417cecf55d5","Class":"a","LeftMs":240.0,"Billing":0,"PathKey":null}}
 {"EofBatch":{}}
 "#;
-    let out = drill(&format!("{INIT}{demand}"));
+    let out = run_adapter(&format!("{INIT}{demand}"));
     assert!(out.status.success());
     let text = String::from_utf8(out.stdout).expect("UTF-8");
     let lines: Vec<&str> = text.lines().collect();
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn bad_input_is_one_plain_message_with_its_line_and_a_failing_exit() {
+fn bad_input_gives_one_error_message_with_its_line_and_a_failing_exit_code() {
     let open = "{\"Frame\":{\"TimeMs\":9.0,\"frame\":2}}\n";
     let bad = [
         ("nonsense\n".to_string(), "line 5"),
@@ -58,7 +59,7 @@
         ),
     ];
     for (input, expected) in bad {
-        let out = drill(&format!("{INIT}{input}"));
+        let out = run_adapter(&format!("{INIT}{input}"));
         assert!(!out.status.success(), "{input}");
         let message = String::from_utf8(out.stderr).expect("UTF-8");
         assert!(message.contains(expected) && message.lines().count() == 1, "{input}: {message}");
@@ -69,33 +70,33 @@
 #[test]
 fn impossible_settings_are_named() {
     let bad = INIT.replace("\"PeersTotal\":null", "\"OverShareWorth\":7.0");
-    let out = drill(&bad);
+    let out = run_adapter(&bad);
     assert!(!out.status.success());
     assert!(String::from_utf8(out.stderr).expect("UTF-8").contains("over_share_worth"));
 }
 
 #[test]
-fn a_retry_budget_that_cannot_be_meant_is_refused_in_one_line() {
-    for (figures, named) in [
+fn an_impossible_retry_budget_is_rejected_with_a_one_line_error() {
+    for (budget, expected) in [
         (r#""LookBackMs":-5.0"#, "LookBackMs"),
         (r#""LookBackMs":5.0,"FreeResends":-1"#, "budget.free"),
         (r#""LookBackMs":5.0,"ExtraShare":-0.1"#, "budget.share"),
         (r#""LookBackMs":5.0,"ExtraShare":1e999"#, "number out of range"),
         (r#""LookBackMs":5.0,"ExtraShare":"lots""#, "invalid type"),
     ] {
-        let out = drill(&INIT.replace("\"PeersTotal\":null", &format!("\"Guarantees\":{{{figures}}}")));
+        let out = run_adapter(&INIT.replace("\"PeersTotal\":null", &format!("\"Guarantees\":{{{budget}}}")));
         let message = String::from_utf8(out.stderr).expect("UTF-8");
-        assert!(!out.status.success() && message.lines().count() == 1, "{figures}: {message}");
-        assert!(message.contains(named), "{figures}: {message}");
+        assert!(!out.status.success() && message.lines().count() == 1, "{budget}: {message}");
+        assert!(message.contains(expected), "{budget}: {message}");
     }
-    for fine in [r#""LookBackMs":0,"FreeResends":3"#, r#""LookBackMs":null"#, r#""LookBackMs":5000"#] {
-        let out = drill(&INIT.replace("\"PeersTotal\":null", &format!("\"Guarantees\":{{{fine}}}")));
-        assert!(out.status.success(), "{fine}");
+    for valid in [r#""LookBackMs":0,"FreeResends":3"#, r#""LookBackMs":null"#, r#""LookBackMs":5000"#] {
+        let out = run_adapter(&INIT.replace("\"PeersTotal\":null", &format!("\"Guarantees\":{{{valid}}}")));
+        assert!(out.status.success(), "{valid}");
     }
 }
 
 #[test]
-fn absent_and_null_values_read_alike() {
+fn absent_and_null_values_are_equivalent() {
     for text in [
         r#"{"Finished":{"Node":1,"Call":"c","CostTimeMs":1.0,"Code":0,"Host":2,"Copy":0,"Ended":true,"ServerStats":null}}"#,
         r#"{"Finished":{"Node":1,"Call":"c","CostTimeMs":1.0,"Code":0,"Host":2,"Copy":0,"Ended":true}}"#,
@@ -106,32 +107,32 @@
 }
 
 #[test]
-fn a_node_that_was_killed_starts_empty_and_others_do_not_notice() {
-    let again = INIT
+fn a_retired_node_starts_empty_when_it_is_initialized_again() {
+    let second_init = INIT
         .replace("\"frame\":1", "\"frame\":2")
         .replace("{\"Init\"", "{\"Retire\":{\"Node\":3}}\n{\"Init\"");
-    let late = r#"{"Frame":{"TimeMs":9.0,"frame":3}}
+    let late_event = r#"{"Frame":{"TimeMs":9.0,"frame":3}}
 {"Finished":{"Node":3,"Call":"old","CostTimeMs":1.0,"Code":5,"Host":51,"Copy":0,"Ended":false}}
 {"EofBatch":{}}
 "#;
-    let out = drill(&format!("{INIT}{again}{late}"));
+    let out = run_adapter(&format!("{INIT}{second_init}{late_event}"));
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let text = String::from_utf8(out.stdout).expect("UTF-8");
     assert_eq!(text, "{\"Done\":{\"frame\":1}}\n{\"Done\":{\"frame\":2}}\n{\"Done\":{\"frame\":3}}\n");
 }
 
 #[test]
-fn the_settings_of_wrong_lists_and_nines_arrive_and_absent_ones_mean_what_they_did() {
+fn settings_for_unlisted_hosts_and_nines_are_read_and_default_to_off() {
     let read = |text: &str| serde_json::from_str::<oakdeal::wire::Env>(text).expect("settings").translate();
-    let (plain, _) = read("{}").expect("nothing stated");
-    assert!(!plain.rules.unlisted_hosts_usable);
-    assert_eq!(plain.nines, None);
-    let (told, _) = read(
+    let (defaults, _) = read("{}").expect("nothing stated");
+    assert!(!defaults.rules.unlisted_hosts_usable);
+    assert_eq!(defaults.nines, None);
+    let (stated, _) = read(
         r#"{"Goal":{"Whole":0.8,"NinesPart":0.2,"NinesWanted":2},"Guarantees":{"DroppedStayOpen":true}}"#,
     )
     .expect("stated");
-    assert!(told.rules.unlisted_hosts_usable);
-    assert_eq!(told.nines, Some(oakdeal::Nines { part: 0.2, wanted: 2.0 }));
+    assert!(stated.rules.unlisted_hosts_usable);
+    assert_eq!(stated.nines, Some(oakdeal::Nines { part: 0.2, wanted: 2.0 }));
     for bad in [r#"{"NinesPart":0.2,"NinesWanted":0}"#, r#"{"NinesPart":-1,"NinesWanted":2}"#] {
         let (settings, _) = read(&format!(r#"{{"Goal":{bad}}}"#)).expect("read");
         assert!(oakdeal::PlacementPolicy::new(settings, 1).is_err(), "{bad}");
