--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -38,7 +38,10 @@
             }
         })
     };
-    let list = [list_entry("s-00000001", new_instance(), "ready"), list_entry("s-00000002", new_instance(), "ready")];
+    let list = [
+        list_entry("s-00000001", new_instance(), "ready"),
+        list_entry("s-00000002", new_instance(), "ready"),
+    ];
     let balancer = Balancer::start_with(
         &Discovery::without_updates(),
         &list,
@@ -51,7 +54,11 @@
     send_second_answer.send(()).unwrap();
     let next_line = reported.recv().unwrap();
     assert!(matches!(next_line.as_str(), "END" | "RESET"), "its connection was not closed: {next_line}");
-    assert_eq!(client.send_text("on\r\n").receive_line(), "back", "the client received something else in between");
+    assert_eq!(
+        client.send_text("on\r\n").receive_line(),
+        "back",
+        "the client received something else in between"
+    );
 }
 
 /// Guards against sending a command whose client has already been answered: the connection to the instance is
@@ -206,7 +213,10 @@
         assert!(sent > 40 << 16, "{sent}");
         // Another client is still served; by then the bytes of the others have been read.
         let mut extra_client = balancer.connect_client();
-        assert_eq!(extra_client.send_text(&format!("OPEN {round}-one one c=watch,d=2000\r\n")).receive_line(), "UP 1");
+        assert_eq!(
+            extra_client.send_text(&format!("OPEN {round}-one one c=watch,d=2000\r\n")).receive_line(),
+            "UP 1"
+        );
         reported.recv().unwrap();
         largest_kb = largest_kb.max(resident_kb(balancer.process_id()));
     }
--- a/tests/ending.rs
+++ b/tests/ending.rs
@@ -71,7 +71,13 @@
 fn a_moved_client_with_unread_input_gets_its_last_lines_and_a_clean_close() {
     let (reports, reported) = channel();
     let list = [list_entry("s-00000001", echo_instance("a", reports), "ready")];
-    let balancer = Balancer::start_with(&Discovery::without_updates(), &list, None, &settings_with_short_deadline(), "text");
+    let balancer = Balancer::start_with(
+        &Discovery::without_updates(),
+        &list,
+        None,
+        &settings_with_short_deadline(),
+        "text",
+    );
     let mut client = balancer.connect_client();
     assert_eq!(client.send_text("OPEN 1 2 c=watch,d=700\r\n").receive_line(), "UP 1");
     reported.recv().unwrap();
--- a/tests/windows.rs
+++ b/tests/windows.rs
@@ -27,8 +27,13 @@
                 "ready",
             )
         });
-        let balancer =
-            Balancer::start_with(&Discovery::without_updates(), &list, None, &settings_with_effect("guarded"), "text");
+        let balancer = Balancer::start_with(
+            &Discovery::without_updates(),
+            &list,
+            None,
+            &settings_with_effect("guarded"),
+            "text",
+        );
         let mut client = balancer.connect_client();
         client.send_text("OPEN 1 2 c=watch,d=8000\r\n");
         listener.wait_for_dial();
@@ -52,8 +57,13 @@
     let (reports, reported) = channel();
     let list =
         ["s-00000001", "s-00000002"].map(|name| list_entry(name, failing_instance(reports.clone()), "ready"));
-    let balancer =
-        Balancer::start_with(&Discovery::without_updates(), &list, None, &settings_with_effect("once"), "text");
+    let balancer = Balancer::start_with(
+        &Discovery::without_updates(),
+        &list,
+        None,
+        &settings_with_effect("once"),
+        "text",
+    );
     assert_eq!(
         balancer.connect_client().send_text("OPEN 1 2 c=watch,d=1500\r\n").receive_line(),
         "ERR not served"
